--- a/crocusshunt/front/__init__.py
+++ b/crocusshunt/front/__init__.py
@@ -3,7 +3,7 @@
 from crocusshunt.front._errors import MalformedSourceError
 from crocusshunt.front._service import FrontService
 from crocusshunt.front._settings import (
-    Bounds,
+    DeploymentLimits,
     FrontSettings,
     HeaderNames,
     SourceFormat,
@@ -11,7 +11,7 @@
 )
 
 __all__ = (
-    'Bounds',
+    'DeploymentLimits',
     'FrontService',
     'FrontSettings',
     'HeaderNames',
--- a/crocusshunt/front/_assembly.py
+++ b/crocusshunt/front/_assembly.py
@@ -17,7 +17,7 @@
 from crocusshunt.front._readiness import Readiness
 from crocusshunt.front._rounds import Rounds
 from crocusshunt.front._settings import (
-    Bounds,
+    DeploymentLimits,
     FrontSettings,
     HeaderNames,
     SourceFormat,
@@ -66,7 +66,7 @@
     metrics = RequestMetrics(MetricsSettings())
     outbox = Outbox(knowledge.fleet)
     tokens = TokenDesk(
-        SharedLimits(knowledge, RetryLimiter(_limit_retries(settings.bounds))),
+        SharedLimits(knowledge, RetryLimiter(_limit_retries(settings.limits))),
         clock,
         outbox.send_to,
     )
@@ -156,9 +156,9 @@
     )
 
 
-def _limit_retries(bounds: Bounds) -> RetryLimit:
+def _limit_retries(limits: DeploymentLimits) -> RetryLimit:
     return RetryLimit(
-        bounds.retry_ratio * _RETRY_MARGIN,
-        bounds.retry_extra * _RETRY_MARGIN,
-        bounds.retry_window_s,
+        limits.retry_ratio * _RETRY_MARGIN,
+        limits.retry_extra * _RETRY_MARGIN,
+        limits.retry_window_s,
     )
--- a/crocusshunt/front/_knowledge.py
+++ b/crocusshunt/front/_knowledge.py
@@ -50,7 +50,7 @@
 
     def take_configuration(self, news: tuple[Row, ...]) -> None:
         """Take rows of the configuration's table."""
-        prefix = self._source.emptied_prefix
+        prefix = self._source.evacuation_prefix
         for row in news:
             if row.key == self._source.configuration_key:
                 self._take_catalog(row)
--- a/crocusshunt/front/_service.py
+++ b/crocusshunt/front/_service.py
@@ -80,7 +80,7 @@
         """Leave the look-ups, finish what runs, close."""
         parts = self._parts
         log_event('host stopping', in_flight=parts.handler.in_flight.count)
-        kill_at = self._clock.monotonic() + self.settings.bounds.grace_s
+        kill_at = self._clock.monotonic() + self.settings.limits.grace_s
         parts.handler.in_flight.is_leaving = True
         parts.rounds.send_heartbeats()
         await asyncio.sleep(_LINGER_S)
@@ -106,7 +106,7 @@
             parts.knowledge.fleet,
             parts.readiness,
             self._clock,
-            settings.bounds.max_lookup_ttl_s,
+            settings.limits.max_lookup_ttl_s,
         )
         ready = ReadyCheck(parts.readiness)
         internal = f'{settings.ip}:{settings.internal_port}'
--- a/crocusshunt/front/_settings.py
+++ b/crocusshunt/front/_settings.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class DeploymentLimits:
     """Times and figures that the deployment must keep.
 
     :param grace_s: from SIGTERM until the process is killed.
@@ -46,7 +46,7 @@
     internal_port: int
     regions: Mapping[str, str]
     store_address: str
-    bounds: Bounds = field(default_factory=Bounds)
+    limits: DeploymentLimits = field(default_factory=DeploymentLimits)
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,14 +89,14 @@
     """How rows of the followed tables are read.
 
     :param configuration_key: key of the row with the configuration.
-    :param emptied_prefix: keys of rows that name a failure domain whose
+    :param evacuation_prefix: keys of rows that name a failure domain whose
         servers get no requests.
     """
 
     tables: TableNames
     headers: HeaderNames
     configuration_key: str
-    emptied_prefix: str
+    evacuation_prefix: str
     decode_catalog: Callable[[bytes], Result[Catalog, MalformedSourceError]]
     decode_server: Callable[
         [str, bytes],
--- a/crocusshunt/platform/_names.py
+++ b/crocusshunt/platform/_names.py
@@ -24,7 +24,7 @@
     tables=TableNames(configuration='op', servers='servers', hosts='hosts'),
     headers=_HEADERS,
     configuration_key='config',
-    emptied_prefix='evacuate/',
+    evacuation_prefix='evacuate/',
     decode_catalog=decode_catalog,
     decode_server=decode_server,
 )
--- a/crocusshunt/platform/_settings.py
+++ b/crocusshunt/platform/_settings.py
@@ -5,7 +5,11 @@
 import msgspec
 from result import Err, Ok, Result
 
-from crocusshunt.front import Bounds, FrontSettings, MalformedSourceError
+from crocusshunt.front import (
+    DeploymentLimits,
+    FrontSettings,
+    MalformedSourceError,
+)
 
 SETTINGS_VARIABLE = 'CROCUSSHUNT_CONFIG'
 
@@ -81,7 +85,7 @@
         internal_port=network.internal_ports[0],
         regions=network.zones,
         store_address=decoded.platform.platform.address,
-        bounds=Bounds(
+        limits=DeploymentLimits(
             grace_s=bounds.grace_s,
             retry_ratio=bounds.budget_ratio,
             retry_window_s=bounds.budget_window_s,
--- a/crocusshunt/platform/tests/test_decoding.py
+++ b/crocusshunt/platform/tests/test_decoding.py
@@ -147,8 +147,8 @@
     settings = read_front_settings(path).unwrap()
     assert settings.front_address == '10.0.0.1:1'
     assert settings.internal_port == 7600
-    assert settings.bounds.grace_s == 7
-    assert settings.bounds.retry_ratio == pytest.approx(0.2)
+    assert settings.limits.grace_s == 7
+    assert settings.limits.retry_ratio == pytest.approx(0.2)
 
 
 @pytest.mark.parametrize('missing', ['self', 'network', 'platform'])
