--- a/crocusshunt/api/tests/test_endpoints.py
+++ b/crocusshunt/api/tests/test_endpoints.py
@@ -13,9 +13,9 @@
 from crocusshunt.core import HostIdentity, ManualClock
 from crocusshunt.keys import digest_key
 from crocusshunt.operators import Operator, Role
-from crocusshunt.storeclient import PlatformSettings
-from crocusshunt.routing import Pool, Row, name_table
+from crocusshunt.routing import Pool, Row, find_row_table
 from crocusshunt.standin import PlatformService
+from crocusshunt.storeclient import PlatformSettings
 from crocusshunt.witnesses import Witness
 
 _KEY = 'ck_bootstrap_00'
@@ -102,7 +102,7 @@
         revision,
         'test',
         tuple(
-            EditRequest(name_table(row), row.name, encode_row(row))
+            EditRequest(find_row_table(row), row.name, encode_row(row))
             for row in rows
         ),
         destroyed,
--- a/crocusshunt/api/tests/test_witnesses.py
+++ b/crocusshunt/api/tests/test_witnesses.py
@@ -13,10 +13,10 @@
 from crocusshunt.core import HostIdentity, ManualClock
 from crocusshunt.keys import digest_key
 from crocusshunt.messages import RequesterPool
-from crocusshunt.storeclient import PlatformSettings
 from crocusshunt.replication import Feed, Follower, FollowerSettings
-from crocusshunt.routing import FailureDomain, Pool, Row, name_table
+from crocusshunt.routing import FailureDomain, Pool, Row, find_row_table
 from crocusshunt.standin import PlatformService
+from crocusshunt.storeclient import PlatformSettings
 from crocusshunt.witnesses import Witness
 
 _KEY = 'ck_bootstrap_00'
@@ -54,7 +54,7 @@
     async def propose(self, change_id: str, *rows: Row) -> str:
         client = OperatorClient(self.apis[0].url, _KEY)
         edits = tuple(
-            EditRequest(name_table(row), row.name, encode_row(row))
+            EditRequest(find_row_table(row), row.name, encode_row(row))
             for row in rows
         )
         expected = self.apis[0].feed.configuration.revision
--- a/crocusshunt/bench/_room.py
+++ b/crocusshunt/bench/_room.py
@@ -8,7 +8,11 @@
 from functools import partial
 
 from crocusshunt.bench._room_values import RoomReport, RoomWorkload
-from crocusshunt.delivery import ServerLoads, choose_server, find_choice
+from crocusshunt.delivery import (
+    ServerLoads,
+    choose_server,
+    find_selection_policy,
+)
 from crocusshunt.routing import Server
 
 SLOT_SHARES = 'slot-shares'
@@ -145,7 +149,9 @@
         self.source = random.Random(workload.seed)
         self.report = RoomReport()
         is_shared = name == SLOT_SHARES
-        self.choose = find_choice('least-in-flight' if is_shared else name)
+        self.choose = find_selection_policy(
+            'least-in-flight' if is_shared else name
+        )
         pool = tuple(
             Server(f's{number}', 'p', '127.0.0.1:1', 'r', 'd', slots=slots)
             for number, slots in enumerate(workload.slots)
--- a/crocusshunt/bench/_simulation/_fleet.py
+++ b/crocusshunt/bench/_simulation/_fleet.py
@@ -13,7 +13,7 @@
 from crocusshunt.controller import Lending, LendingContext
 from crocusshunt.core import HostIdentity, Identifiers
 from crocusshunt.gateway import Limiter
-from crocusshunt.limits import QueueSettings
+from crocusshunt.limits import BorrowSettings
 from crocusshunt.messages import (
     BorrowTokens,
     Handlers,
@@ -51,7 +51,7 @@
     regions: tuple[str, ...] = ('zagreb', 'split', 'osijek')
     region_delay_s: float = 0.02
     domain_delay_s: float = 0.001
-    queue: QueueSettings = field(default_factory=QueueSettings)
+    queue: BorrowSettings = field(default_factory=BorrowSettings)
 
     def find_region(self, host: str) -> str:
         """Return the region of a host."""
--- a/crocusshunt/bench/_spread/_fleet.py
+++ b/crocusshunt/bench/_spread/_fleet.py
@@ -24,7 +24,7 @@
     WitnessAnnouncer,
     WitnessHandler,
 )
-from crocusshunt.routing import Row, name_table
+from crocusshunt.routing import Row, find_row_table
 from crocusshunt.standin import MemoryPlatform
 
 _STORE_DELAY_S = 0.11
@@ -92,7 +92,7 @@
         """Write a change through the first interface process."""
         feed = self.feeds[self.apis[0]]
         edits = tuple(
-            EditRequest(name_table(row), row.name, encode_row(row))
+            EditRequest(find_row_table(row), row.name, encode_row(row))
             for row in rows
         )
         revision = feed.configuration.revision
--- a/crocusshunt/bench/delivery.py
+++ b/crocusshunt/bench/delivery.py
@@ -16,7 +16,7 @@
 from crocusshunt.bench._registry import Measurement, register_bench
 from crocusshunt.bench._room import SLOT_SHARES, simulate_ideal, simulate_room
 from crocusshunt.bench._room_values import RoomWorkload
-from crocusshunt.delivery import list_choices
+from crocusshunt.delivery import list_selection_policies
 from crocusshunt.services import create_loop
 
 _SEED = 5
@@ -55,8 +55,14 @@
     )
     adaptive = replace(workload, is_adaptive=True)
     ways = [
-        *((name, name, workload) for name in (*list_choices(), SLOT_SHARES)),
-        *((f'{name}-adaptive', name, adaptive) for name in list_choices()),
+        *(
+            (name, name, workload)
+            for name in (*list_selection_policies(), SLOT_SHARES)
+        ),
+        *(
+            (f'{name}-adaptive', name, adaptive)
+            for name in list_selection_policies()
+        ),
     ]
     for name, choice, offered in ways:
         seen = simulate_room(offered, choice)
--- a/crocusshunt/bench/limits.py
+++ b/crocusshunt/bench/limits.py
@@ -23,11 +23,11 @@
 from crocusshunt.core import ManualClock
 from crocusshunt.limits import (
     AdmissionQueue,
+    AdmissionVerdict,
+    BorrowSettings,
     HomeLedger,
+    LendingTerm,
     LoanRequest,
-    QueueSettings,
-    Tenure,
-    Verdict,
     find_shard,
 )
 from crocusshunt.routing import Customer
@@ -66,7 +66,7 @@
     _HOSTS,
     ('addis', 'dire', 'bahir'),
     region_delay_s=0.055,
-    queue=QueueSettings(ahead_s=0.3),
+    queue=BorrowSettings(ahead_s=0.3),
 )
 
 
@@ -170,13 +170,13 @@
     clock = ManualClock()
     ledger = HomeLedger(clock)
     customer = Customer('cellar', 1_000_000, 1_000_000)
-    queue = AdmissionQueue(QueueSettings(ahead_s=0.1), customer.rate)
-    tenure = Tenure(1, 0)
+    queue = AdmissionQueue(BorrowSettings(ahead_s=0.1), customer.rate)
+    tenure = LendingTerm(1, 0)
     started_at = time.process_time()
     for ticket in range(_DECISIONS):
         clock.advance(0.0001)
         now = clock.monotonic()
-        if queue.arrive(ticket, now, 1) is not Verdict.admitted:
+        if queue.arrive(ticket, now, 1) is not AdmissionVerdict.admitted:
             request = queue.plan(f'{ticket}', now)
             if request is not None:
                 queue.receive(ledger.lend(customer, request, tenure), now)
@@ -195,7 +195,7 @@
     before = tracemalloc.get_traced_memory()[0]
     for number in range(_ACCOUNTS):
         customer = Customer(f'customer-{number}', _RATE, 40)
-        ledger.lend(customer, LoanRequest('one', 1), Tenure(1, 0))
+        ledger.lend(customer, LoanRequest('one', 1), LendingTerm(1, 0))
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return Measurement(
--- a/crocusshunt/configuration/_rows.py
+++ b/crocusshunt/configuration/_rows.py
@@ -7,7 +7,7 @@
 
 from crocusshunt.core import Fault, Source, convert_fields
 from crocusshunt.routing import Row
-from crocusshunt.schema import is_table, row_type, table_names
+from crocusshunt.schema import find_row_type, is_table, list_tables
 
 
 def encode_row(row: Row) -> str:
@@ -36,7 +36,7 @@
     """
     place = f'{table} {name}'
     if not is_table(table):
-        allowed = ', '.join(table_names())
+        allowed = ', '.join(list_tables())
         return Err((Fault(place, 'unknown table', allowed),))
     try:
         fields = msgspec.json.decode(text, type=dict[str, Any])
@@ -45,4 +45,4 @@
     if fields.get('name') != name:
         problem = f"carries the name '{fields.get('name')}'"
         return Err((Fault(place, problem, name),))
-    return convert_fields(Source(place), fields, row_type(table))
+    return convert_fields(Source(place), fields, find_row_type(table))
--- a/crocusshunt/controller/_leases.py
+++ b/crocusshunt/controller/_leases.py
@@ -11,23 +11,23 @@
 from crocusshunt.limits import (
     LOAN_LIFETIME_S,
     ROW_LEASE_S,
-    Candidate,
+    HeldLease,
+    LeaseCandidate,
     LeaseRow,
-    Level,
-    Tenancy,
-    Tenure,
+    LendingTerm,
+    TokenLevel,
+    add_drift,
+    build_release_row,
+    build_takeover_row,
+    build_witness_change_row,
     decode_lease,
     encode_lease,
-    lengthen,
     may_acquire,
-    release,
-    replace_witnesses,
-    shorten,
-    succeed,
+    subtract_drift,
 )
 from crocusshunt.store import ABSENT, StoreError, TableStore, Write
 
-Measure = Callable[[str, Tenure], tuple[Level, ...]]
+Measure = Callable[[str, LendingTerm], tuple[TokenLevel, ...]]
 
 
 class LeaseManager:
@@ -50,8 +50,8 @@
 
         :param incarnation: identifies this process.
         """
-        self.tenancies: dict[str, Tenancy] = {}
-        self.inherited: dict[str, tuple[Level, ...]] = {}
+        self.tenancies: dict[str, HeldLease] = {}
+        self.inherited: dict[str, tuple[TokenLevel, ...]] = {}
         self._identity = identity
         self._incarnation = incarnation
         self._directory = directory
@@ -59,7 +59,7 @@
         self._clock = clock
         self._rows: dict[str, LeaseRow] = {}
 
-    def find_tenure(self, shard: str) -> Tenure | None:
+    def find_tenure(self, shard: str) -> LendingTerm | None:
         """Return the tenure in which this host may lend now.
 
         It lasts longer than the loan that is about to be made.
@@ -67,8 +67,8 @@
         tenancy = self.tenancies.get(shard)
         if tenancy is None:
             return None
-        until = self._clock.monotonic() + lengthen(LOAN_LIFETIME_S)
-        return tenancy.find_tenure(until)
+        until = self._clock.monotonic() + add_drift(LOAN_LIFETIME_S)
+        return tenancy.find_term(until)
 
     def find_holder(self, shard: str) -> str | None:
         """Return the other live host that the row last read names."""
@@ -88,11 +88,11 @@
         missing = set(tenancy.row.witnesses) - set(self._directory.find_live())
         if missing and tenancy.started_at is not None:
             witnesses = self._directory.choose_witnesses(shard)
-            row = replace_witnesses(tenancy.row, witnesses)
+            row = build_witness_change_row(tenancy.row, witnesses)
             return await self._write(shard, row)
         if tenancy.is_releasing or tenancy.is_renewal_due(now):
             # A release without an answer can take effect no more after this.
-            return await self._write(shard, tenancy.renew_row())
+            return await self._write(shard, tenancy.build_renewal_row())
         return Ok(None)
 
     def find_displaced(self) -> tuple[str, ...]:
@@ -118,11 +118,11 @@
         tenancy = self.tenancies[shard]
         tenure = self.find_tenure(shard)
         tenancy.is_releasing = True
-        levels: tuple[Level, ...] = ()
+        levels: tuple[TokenLevel, ...] = ()
         if tenure is not None:
-            await asyncio.sleep(lengthen(LOAN_LIFETIME_S))
+            await asyncio.sleep(add_drift(LOAN_LIFETIME_S))
             levels = measure(shard, tenure)
-        written = await self._write(shard, release(tenancy, levels))
+        written = await self._write(shard, build_release_row(tenancy, levels))
         if isinstance(written, Ok):
             self.tenancies.pop(shard, None)
         return written
@@ -156,7 +156,7 @@
         # When the write took effect is unknown, so its lease counts nothing.
         tenancy = self.tenancies.get(shard)
         if tenancy is None:
-            tenancy = Tenancy(row, version, self._clock.monotonic(), 0)
+            tenancy = HeldLease(row, version, self._clock.monotonic(), 0)
             self.tenancies[shard] = tenancy
         tenancy.row = row
         tenancy.version = version
@@ -168,17 +168,17 @@
         before: LeaseRow | None,
         version: int,
     ) -> Result[None, StoreError]:
-        row = succeed(before, self._describe(shard, before))
+        row = build_takeover_row(before, self._describe(shard, before))
         asked_at = self._clock.monotonic()
         written = await self._put(shard, row, version)
         if isinstance(written, Ok):
             self._rows[shard] = row
             self.inherited[shard] = before.levels if before else ()
-            self.tenancies[shard] = Tenancy(
+            self.tenancies[shard] = HeldLease(
                 row,
                 version + 1,
                 self._clock.monotonic(),
-                asked_at + shorten(ROW_LEASE_S),
+                asked_at + subtract_drift(ROW_LEASE_S),
             )
         return written
 
@@ -196,7 +196,7 @@
         tenancy.row = row
         tenancy.version += 1
         tenancy.is_releasing = False
-        tenancy.row_until = asked_at + shorten(ROW_LEASE_S)
+        tenancy.row_until = asked_at + subtract_drift(ROW_LEASE_S)
         self._rows[shard] = row
         return written
 
@@ -209,10 +209,10 @@
         write = Write(LEASE_TABLE, shard, encode_lease(row), version)
         return await self._tables.transact((write,))
 
-    def _describe(self, shard: str, row: LeaseRow | None) -> Candidate:
+    def _describe(self, shard: str, row: LeaseRow | None) -> LeaseCandidate:
         released_by = '' if row is None else row.released_by
         home = self._directory.find_home(shard, released_by)
-        return Candidate(
+        return LeaseCandidate(
             self._identity.name,
             self._incarnation,
             frozenset(self._directory.find_live()),
--- a/crocusshunt/controller/_loans.py
+++ b/crocusshunt/controller/_loans.py
@@ -14,9 +14,9 @@
 from crocusshunt.core import Clock, HostIdentity
 from crocusshunt.limits import (
     HomeLedger,
-    Level,
+    LendingTerm,
     LoanRequest,
-    Tenure,
+    TokenLevel,
     find_shard,
 )
 from crocusshunt.messages import Body, BorrowTokens, Refusal, TokenLoan
@@ -89,11 +89,16 @@
         self._directory.leave()
         await self._hand_over(tuple(self._keeper.tenancies))
 
-    def measure(self, shard: str, tenure: Tenure) -> tuple[Level, ...]:
+    def measure(
+        self, shard: str, tenure: LendingTerm
+    ) -> tuple[TokenLevel, ...]:
         """Return what is left of the tokens of a shard's customers."""
         self._inherit(shard, tenure)
         return tuple(
-            Level(customer.name, self._ledger.measure(customer, tenure))
+            TokenLevel(
+                customer.name,
+                self._ledger.measure_transferable(customer, tenure),
+            )
             for customer in self._group_customers()[shard]
         )
 
@@ -124,19 +129,21 @@
             groups[find_shard(customer.name)].append(customer)
         return groups
 
-    def _inherit(self, shard: str, tenure: Tenure) -> None:
+    def _inherit(self, shard: str, tenure: LendingTerm) -> None:
         levels = self._keeper.inherited.pop(shard, ())
         tokens = {level.customer: level.tokens for level in levels}
         if not tokens:
             return
         for customer in self._group_customers()[shard]:
-            self._ledger.place(customer, tokens.get(customer.name, 0), tenure)
+            self._ledger.restore_tokens(
+                customer, tokens.get(customer.name, 0), tenure
+            )
 
     def _lend(
         self,
         customer: Customer,
         question: BorrowTokens,
-        tenure: Tenure,
+        tenure: LendingTerm,
     ) -> TokenLoan:
         prefix = question.borrower
         settled = tuple(
--- a/crocusshunt/controller/_supports.py
+++ b/crocusshunt/controller/_supports.py
@@ -10,7 +10,7 @@
 from crocusshunt.controller._peers import Peers
 from crocusshunt.controller._witnessing import WitnessHandler
 from crocusshunt.core import Clock
-from crocusshunt.limits import Tenancy
+from crocusshunt.limits import HeldLease
 from crocusshunt.messages import (
     LeaseEpoch,
     LeasesRenewed,
@@ -109,7 +109,7 @@
             return Ok(await self._parts.answer(question))
         return await self._peers.ask(host, question, LeasesRenewed, _TIMEOUT_S)
 
-    def _find(self, shard: str, epochs: dict[str, int]) -> Tenancy | None:
+    def _find(self, shard: str, epochs: dict[str, int]) -> HeldLease | None:
         tenancy = self._keeper.tenancies.get(shard)
         # The lease may have changed hands while the answer was on its way.
         if tenancy is None or tenancy.row.epoch != epochs.get(shard):
@@ -117,6 +117,6 @@
         return tenancy
 
 
-def _find_unfenced(tenancy: Tenancy) -> set[str]:
+def _find_unfenced(tenancy: HeldLease) -> set[str]:
     hosts = {host for hosts in tenancy.row.unfenced for host in hosts}
     return hosts - set(tenancy.cleared)
--- a/crocusshunt/controller/_witnessing.py
+++ b/crocusshunt/controller/_witnessing.py
@@ -27,7 +27,7 @@
     async def answer(self, question: RenewLeases) -> LeasesRenewed:
         """Return what this witness agreed to."""
         for unread in question.supports:
-            if self._witness.is_ignorant(unread.shard):
+            if self._witness.is_row_needed(unread.shard):
                 await self._read(unread.shard)
         now = self._clock.monotonic()
         supported = tuple(
@@ -54,4 +54,4 @@
         if isinstance(found, Ok) and found.ok_value is not None:
             row = decode_lease(found.ok_value.body)
             if row is not None:
-                self._witness.learn(shard, row.epoch)
+                self._witness.record_epoch(shard, row.epoch)
--- a/crocusshunt/controller/tests/test_shifts.py
+++ b/crocusshunt/controller/tests/test_shifts.py
@@ -16,7 +16,7 @@
 )
 from crocusshunt.controller import ShiftRunner, ShiftSources
 from crocusshunt.core import ManualClock, rank_by_rendezvous
-from crocusshunt.routing import FailureDomain, Link, Pool, Row, name_table
+from crocusshunt.routing import FailureDomain, Link, Pool, Row, find_row_table
 from crocusshunt.shifts import Shift, ShiftState
 from crocusshunt.standin import MemoryPlatform
 from crocusshunt.steering import LinkLoad, PoolLoad, Readings
@@ -51,7 +51,7 @@
     async def start(self) -> None:
         self.repository = Repository(self.platform, self.clock)
         edits = tuple(
-            EditRequest(name_table(row), row.name, encode_row(row))
+            EditRequest(find_row_table(row), row.name, encode_row(row))
             for row in _ROWS
         )
         request = ChangeRequest('first', 0, 'mina', 'start', edits)
--- a/crocusshunt/ctl/_changes.py
+++ b/crocusshunt/ctl/_changes.py
@@ -19,7 +19,7 @@
     write_fields,
 )
 from crocusshunt.routing import Server, ServerState, Tables
-from crocusshunt.schema import is_table, row_type, table_names
+from crocusshunt.schema import find_row_type, is_table, list_tables
 
 
 @register_command('plan')
@@ -58,7 +58,7 @@
     """Change some fields of one row, or add the row."""
     table = context.arguments['TABLE']
     if not is_table(table):
-        allowed = ', '.join(table_names())
+        allowed = ', '.join(list_tables())
         return report_faults(context, (Fault(table, 'unknown table', allowed),))
     return await edit_fields(context, table)
 
@@ -145,7 +145,7 @@
     known = {} if held is None else write_fields(held)
     fields = {**known, **values, 'name': name}
     source = Source(f'{table} {name}', is_text=True)
-    row = convert_fields(source, fields, row_type(table))
+    row = convert_fields(source, fields, find_row_type(table))
     if isinstance(row, Err):
         return row
     if row.ok_value == held:
--- a/crocusshunt/ctl/_keys.py
+++ b/crocusshunt/ctl/_keys.py
@@ -18,7 +18,13 @@
 from crocusshunt.ctl._console import format_table
 from crocusshunt.ctl._failures import report_failure, report_faults
 from crocusshunt.ctl._proposals import Edits, change_tables
-from crocusshunt.keys import Key, KeyState, create_key, digest_key, split_key
+from crocusshunt.keys import (
+    Key,
+    KeyState,
+    create_key,
+    digest_key,
+    extract_key_name,
+)
 from crocusshunt.operators import Operator, Role
 from crocusshunt.routing import Tables
 
@@ -139,7 +145,7 @@
         secret = _open_secret(path, name)
     except OSError as error:
         return Err(Fault(str(path), str(error), 'a file that can be written'))
-    if split_key(secret) != name:
+    if extract_key_name(secret) != name:
         allowed = f'a new file, or the key of {name}'
         return Err(Fault(str(path), 'holds another key', allowed))
     context.console.note(f'the secret is in {path}; it works once accepted')
--- a/crocusshunt/ctl/_queries.py
+++ b/crocusshunt/ctl/_queries.py
@@ -14,7 +14,7 @@
 from crocusshunt.ctl._failures import report_failure, report_faults
 from crocusshunt.declarations import read_declarations, write_declarations
 from crocusshunt.routing import find_faults
-from crocusshunt.schema import is_table, table_names
+from crocusshunt.schema import is_table, list_tables
 
 _TIME_FORMAT = '%Y-%m-%d %H:%M:%S'
 
@@ -55,7 +55,7 @@
     arguments = context.arguments
     wanted = (arguments['TABLE'], arguments['NAME'])
     if wanted[0] and not is_table(wanted[0]):
-        fault = Fault(wanted[0], 'unknown table', ', '.join(table_names()))
+        fault = Fault(wanted[0], 'unknown table', ', '.join(list_tables()))
         return report_faults(context, (fault,))
     rows = [
         RowDocument(table, name, msgspec.Raw(encode_row(row).encode()))
--- a/crocusshunt/declarations/_directory.py
+++ b/crocusshunt/declarations/_directory.py
@@ -7,7 +7,7 @@
 
 from crocusshunt.core import Fault, Source, convert_fields
 from crocusshunt.routing import Row, Tables
-from crocusshunt.schema import is_table, row_type, table_names
+from crocusshunt.schema import find_row_type, is_table, list_tables
 from crocusshunt.settings import SettingsError, read_sections
 
 _PATTERN = '*.ini'
@@ -59,10 +59,10 @@
 ) -> Result[tuple[str, Row], tuple[Fault, ...]]:
     table, _separator, name = title.partition(' ')
     if not is_table(table):
-        allowed = ', '.join(table_names())
+        allowed = ', '.join(list_tables())
         return Err((Fault(place, 'unknown table', allowed),))
     fields = {**values, 'name': name.strip()}
     source = Source(place, is_text=True)
-    return convert_fields(source, fields, row_type(table)).map(
+    return convert_fields(source, fields, find_row_type(table)).map(
         lambda row: (table, row),
     )
--- a/crocusshunt/delivery/_claims.py
+++ b/crocusshunt/delivery/_claims.py
@@ -82,7 +82,7 @@
     """The row found may be replaced: released, or expired."""
 
 
-Verdict = (
+ClaimVerdict = (
     ClaimHeld
     | ClaimFree
     | RecordedAnswer
@@ -92,7 +92,7 @@
 )
 
 
-def judge_claim(found: Claim, wanted: Claim, now: float) -> Verdict:
+def evaluate_claim(found: Claim, wanted: Claim, now: float) -> ClaimVerdict:
     """Return what an existing claim means for a request.
 
     :param found: the claim in the table.
--- a/crocusshunt/delivery/_ejection.py
+++ b/crocusshunt/delivery/_ejection.py
@@ -52,7 +52,7 @@
         if record is None:
             return
         record.failures = 0
-        if self.scale(server, now) >= 1:
+        if self.compute_share(server, now) >= 1:
             self._records.pop(server.name)
 
     def note_failure(self, server: Server, now: float) -> None:
@@ -72,7 +72,7 @@
         record = self._records.setdefault(server.name, _Record())
         record.returned_at = now
 
-    def select_open(
+    def select_available(
         self,
         servers: Iterable[Server],
         now: float,
@@ -89,7 +89,7 @@
         left_out = {server.name for server in ejected[:allowed]}
         return tuple(one for one in pool if one.name not in left_out)
 
-    def scale(self, server: Server, now: float) -> float:
+    def compute_share(self, server: Server, now: float) -> float:
         """Return a server's share of its normal work, up to 1."""
         record = self._records.get(server.name)
         if record is None or record.returned_at is None:
--- a/crocusshunt/delivery/_forwarding.py
+++ b/crocusshunt/delivery/_forwarding.py
@@ -10,9 +10,9 @@
 from crocusshunt.delivery._headers import REQUEST_ID_HEADER
 from crocusshunt.delivery._outcomes import (
     Answered,
-    BrokenOff,
     NotRun,
     Outcome,
+    ResponseInterrupted,
     UnknownOutcome,
 )
 from crocusshunt.routing import Server
@@ -100,7 +100,9 @@
             return await self._exchange(attempt)
         except (aiohttp.ClientError, ConnectionError, TimeoutError) as error:
             if attempt.relayed_status is not None:
-                return BrokenOff(attempt.relayed_status, type(error).__name__)
+                return ResponseInterrupted(
+                    attempt.relayed_status, type(error).__name__
+                )
             return _classify(error)
 
     async def _exchange(self, attempt: Attempt) -> Outcome:
--- a/crocusshunt/delivery/_headers.py
+++ b/crocusshunt/delivery/_headers.py
@@ -93,7 +93,7 @@
     :param added: headers that the gateway sets.
     :param keys: the keys that the request carries.
     """
-    dropped = HOP_BY_HOP | _REPLACED | find_connection_names(headers)
+    dropped = HOP_BY_HOP | _REPLACED | find_connection_options(headers)
     shown = tuple(key for key in keys if len(key) >= _SHORTEST_KEY)
     kept = CIMultiDict(_select(headers, dropped, shown))
     cookies = [
@@ -109,7 +109,7 @@
 
 def prepare_answer_headers(headers: Headers) -> CIMultiDict[str]:
     """Return a backend server's headers without hop-by-hop ones."""
-    dropped = HOP_BY_HOP | find_connection_names(headers)
+    dropped = HOP_BY_HOP | find_connection_options(headers)
     return CIMultiDict(
         (name, text)
         for name, text in headers.items()
@@ -117,14 +117,14 @@
     )
 
 
-def find_connection_names(headers: Headers) -> frozenset[str]:
+def find_connection_options(headers: Headers) -> frozenset[str]:
     """Return the folded names that the Connection header lists."""
     line = ','.join(headers.getall('Connection', ()))
     names = line.replace(' ', '').replace('\t', '').split(',')
-    return frozenset(map(fold_name, names)) - _KEPT
+    return frozenset(map(normalize_header_name, names)) - _KEPT
 
 
-def fold_name(name: str) -> str:
+def normalize_header_name(name: str) -> str:
     """Return a header name as servers may compare it.
 
     Some servers read underscores in header names as hyphens.
@@ -138,7 +138,9 @@
     keys: tuple[str, ...],
 ) -> Iterator[tuple[str, str]]:
     for name, text in headers.items():
-        if fold_name(name) not in dropped and not _repeats_key(text, keys):
+        if normalize_header_name(name) not in dropped and not _repeats_key(
+            text, keys
+        ):
             yield name, text
 
 
--- a/crocusshunt/delivery/_outcomes.py
+++ b/crocusshunt/delivery/_outcomes.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenOff:
+class ResponseInterrupted:
     """The answer ended after its start reached the caller.
 
     The caller's connection was broken, so it cannot take the part for the
@@ -69,7 +69,7 @@
     status: int
 
 
-Outcome = Answered | NotRun | UnknownOutcome | BrokenOff
+Outcome = Answered | NotRun | UnknownOutcome | ResponseInterrupted
 Failure = NotRun | UnknownOutcome | AnsweredBefore
 
 
--- a/crocusshunt/delivery/_quarantine.py
+++ b/crocusshunt/delivery/_quarantine.py
@@ -21,7 +21,7 @@
     window_s: float = 600
 
 
-class Suspicion(msgspec.Struct, frozen=True):
+class CrashSuspicion(msgspec.Struct, frozen=True):
     """Crashes of backend servers that a request seems to have caused.
 
     :param losses: the server and the attempt of each; a server that came
@@ -44,7 +44,7 @@
     """Suspicions by customer and request.
 
     >>> ledger = QuarantineLedger(QuarantineSettings())
-    >>> lost = Suspicion('court', 'f1', ('s1 r1', 's1 r2'), 600)
+    >>> lost = CrashSuspicion('court', 'f1', ('s1 r1', 's1 r2'), 600)
     >>> ledger.merge(lost, now=0).losses
     ('s1 r1', 's1 r2')
     >>> ledger.check('court', 'f1', now=1).code
@@ -56,7 +56,7 @@
     def __init__(self, settings: QuarantineSettings) -> None:
         """Start without suspicions."""
         self._settings = settings
-        self._held: dict[str, dict[str, Suspicion]] = {}
+        self._held: dict[str, dict[str, CrashSuspicion]] = {}
 
     def has_suspects(self, customer: str, now: float) -> bool:
         """Tell whether a customer's requests must be looked at."""
@@ -69,16 +69,16 @@
         fingerprint: str,
         loss: str,
         now: float,
-    ) -> Suspicion:
+    ) -> CrashSuspicion:
         """Count a server that went away while it ran a request.
 
         :param loss: the server and the attempt, unique.
         """
         expires_at = now + self._settings.window_s
-        lost = Suspicion(customer, fingerprint, (loss,), expires_at)
+        lost = CrashSuspicion(customer, fingerprint, (loss,), expires_at)
         return self.merge(lost, now)
 
-    def merge(self, seen: Suspicion, now: float) -> Suspicion:
+    def merge(self, seen: CrashSuspicion, now: float) -> CrashSuspicion:
         """Add a suspicion, and return what is known together with it."""
         held = self._held.setdefault(seen.customer, {})
         known = held.get(seen.fingerprint)
@@ -125,9 +125,9 @@
 
 
 def _keep_fresh(
-    held: dict[str, Suspicion],
+    held: dict[str, CrashSuspicion],
     now: float,
-) -> dict[str, Suspicion]:
+) -> dict[str, CrashSuspicion]:
     return {
         fingerprint: one
         for fingerprint, one in held.items()
--- a/crocusshunt/delivery/_queue.py
+++ b/crocusshunt/delivery/_queue.py
@@ -9,7 +9,7 @@
 from crocusshunt.core import CrocusError
 from crocusshunt.routing import Priority
 
-_Line = OrderedDict[str, deque['Waiting']]
+_Line = OrderedDict[str, deque['QueuedRequest']]
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedRequest:
     """One request that waits.
 
     :param number: order of arrival, unique in the queue.
@@ -67,7 +67,7 @@
 QueueError = QueueFullError | DeadlineUnreachableError
 
 
-class WaitingQueue:
+class RequestQueue:
     """Takes urgent requests first, customers in turn, none too late.
 
     Within a priority each customer's next request comes in turn: deficit
@@ -84,7 +84,7 @@
         self._lines: dict[Priority, _Line] = {
             priority: OrderedDict() for priority in Priority
         }
-        self._by_number: dict[int, Waiting] = {}
+        self._by_number: dict[int, QueuedRequest] = {}
         self._takes = 0
 
     def __len__(self) -> int:
@@ -93,9 +93,9 @@
 
     def offer(
         self,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         turn_s: float,
-    ) -> Result[Waiting | None, QueueError]:
+    ) -> Result[QueuedRequest | None, QueueError]:
         """Add a request, or refuse it early.
 
         When the queue is full, the newest request of the customer that
@@ -124,7 +124,7 @@
         self._by_number[waiting.number] = waiting
         return Ok(displaced)
 
-    def take(self, now: float) -> Waiting | None:
+    def take(self, now: float) -> QueuedRequest | None:
         """Remove and return the request whose turn it is."""
         self._takes += 1
         if self._takes % self._settings.aged_turn == 0:
@@ -137,7 +137,7 @@
                 return self._take_in_turn(line)
         return None
 
-    def remove(self, waiting: Waiting) -> bool:
+    def remove(self, waiting: QueuedRequest) -> bool:
         """Remove a request; return whether it still waited."""
         if self._by_number.pop(waiting.number, None) is None:
             return False
@@ -148,14 +148,14 @@
             line.pop(waiting.customer)
         return True
 
-    def _find_aged(self, now: float) -> Waiting | None:
+    def _find_aged(self, now: float) -> QueuedRequest | None:
         if not self._by_number:
             return None
         oldest = self._by_number[min(self._by_number)]
         is_aged = now - oldest.arrived_at >= self._settings.aging_s
         return oldest if is_aged else None
 
-    def _take_in_turn(self, line: _Line) -> Waiting:
+    def _take_in_turn(self, line: _Line) -> QueuedRequest:
         customer, held = next(iter(line.items()))
         taken = held.popleft()
         if held:
@@ -165,7 +165,7 @@
         self._by_number.pop(taken.number)
         return taken
 
-    def _count_ahead(self, waiting: Waiting) -> int:
+    def _count_ahead(self, waiting: QueuedRequest) -> int:
         ahead = 0
         for priority, line in self._lines.items():
             if priority is waiting.priority:
@@ -173,7 +173,7 @@
             ahead += sum(len(held) for held in line.values())
         return ahead
 
-    def _find_displaced(self, newcomer: Waiting) -> Waiting | None:
+    def _find_displaced(self, newcomer: QueuedRequest) -> QueuedRequest | None:
         counts = self._count_by_customer()
         heaviest, greatest = counts.most_common(1)[0]
         if greatest <= counts[newcomer.customer] + 1:
@@ -183,7 +183,9 @@
     def _count_by_customer(self) -> Counter[str]:
         return Counter(held.customer for held in self._by_number.values())
 
-    def _list_newest_last_priority(self, customer: str) -> Iterator[Waiting]:
+    def _list_newest_last_priority(
+        self, customer: str
+    ) -> Iterator[QueuedRequest]:
         for line in reversed(self._lines.values()):
             held = line.get(customer)
             if held:
--- a/crocusshunt/delivery/_selection.py
+++ b/crocusshunt/delivery/_selection.py
@@ -79,25 +79,29 @@
     weight: float
 
 
-Choice = Callable[[Sequence[Candidate], ServerLoads, random.Random], Server]
+SelectionPolicy = Callable[
+    [Sequence[Candidate], ServerLoads, random.Random], Server
+]
 
-_CHOICES: dict[str, Choice] = {}
+_CHOICES: dict[str, SelectionPolicy] = {}
 
 
-def register_choice(name: str) -> Callable[[Choice], Choice]:
+def register_selection_policy(
+    name: str,
+) -> Callable[[SelectionPolicy], SelectionPolicy]:
     """Return a decorator that registers a way to choose a server.
 
     :param name: name in settings and measurements.
     """
 
-    def register(function: Choice) -> Choice:
+    def register(function: SelectionPolicy) -> SelectionPolicy:
         _CHOICES[name] = function
         return function
 
     return register
 
 
-def find_choice(name: str) -> Choice:
+def find_selection_policy(name: str) -> SelectionPolicy:
     """Return a registered way to choose a server.
 
     :raises KeyError: the name is not registered.
@@ -105,16 +109,16 @@
     return _CHOICES[name]
 
 
-def list_choices() -> tuple[str, ...]:
+def list_selection_policies() -> tuple[str, ...]:
     """Return the names of the ways to choose a server.
 
-    >>> list_choices()
+    >>> list_selection_policies()
     ('least-in-flight', 'power-of-two', 'random')
     """
     return tuple(sorted(_CHOICES))
 
 
-@register_choice('random')
+@register_selection_policy('random')
 def choose_random(
     candidates: Sequence[Candidate],
     loads: ServerLoads,
@@ -125,7 +129,7 @@
     return source.choices(candidates, weights)[0].server
 
 
-@register_choice('least-in-flight')
+@register_selection_policy('least-in-flight')
 def choose_least(
     candidates: Sequence[Candidate],
     loads: ServerLoads,
@@ -139,7 +143,7 @@
     return min(measured, key=lambda one: one[:2])[2].server
 
 
-@register_choice('power-of-two')
+@register_selection_policy('power-of-two')
 def choose_of_two(
     candidates: Sequence[Candidate],
     loads: ServerLoads,
@@ -160,7 +164,7 @@
     loads: ServerLoads,
     source: random.Random,
     scale: Callable[[Server], float] | None = None,
-    choose: Choice = choose_of_two,
+    choose: SelectionPolicy = choose_of_two,
 ) -> Server | None:
     """Return a server with room, or None.
 
--- a/crocusshunt/delivery/tests/test_queue.py
+++ b/crocusshunt/delivery/tests/test_queue.py
@@ -6,10 +6,10 @@
 
 from crocusshunt.delivery import (
     DeadlineUnreachableError,
+    QueuedRequest,
     QueueFullError,
     QueueSettings,
-    Waiting,
-    WaitingQueue,
+    RequestQueue,
 )
 from crocusshunt.routing import Priority
 
@@ -21,18 +21,20 @@
     customer: str = 'court',
     priority: Priority = Priority.normal,
     arrived_at: float = 0,
-) -> Waiting:
-    return Waiting(number, customer, priority, arrived_at, arrived_at + 10)
+) -> QueuedRequest:
+    return QueuedRequest(
+        number, customer, priority, arrived_at, arrived_at + 10
+    )
 
 
-def _drain(queue: WaitingQueue, now: float = 0) -> list[int]:
+def _drain(queue: RequestQueue, now: float = 0) -> list[int]:
     return [
         taken.number for _ in range(len(queue)) if (taken := queue.take(now))
     ]
 
 
 def test_urgent_goes_first_and_customers_take_turns() -> None:
-    queue = WaitingQueue(_SETTINGS)
+    queue = RequestQueue(_SETTINGS)
     queue.offer(_wait(1, priority=Priority.deferrable), 0)
     for number in (2, 3, 4):
         queue.offer(_wait(number, 'flood'), 0)
@@ -42,7 +44,7 @@
 
 
 def test_deferrable_does_not_starve_under_urgent_load() -> None:
-    queue = WaitingQueue(_SETTINGS)
+    queue = RequestQueue(_SETTINGS)
     queue.offer(_wait(0, priority=Priority.deferrable), 0)
     taken = []
     for number in range(1, 40):
@@ -57,7 +59,7 @@
 
 
 def test_flood_gives_way_to_a_small_customer() -> None:
-    queue = WaitingQueue(_SETTINGS)
+    queue = RequestQueue(_SETTINGS)
     for number in range(8):
         queue.offer(_wait(number, 'flood'), 0)
     displaced = queue.offer(_wait(8, 'small'), 0).unwrap()
@@ -68,7 +70,7 @@
 
 
 def test_refused_early_where_the_deadline_cannot_be_met() -> None:
-    queue = WaitingQueue(_SETTINGS)
+    queue = RequestQueue(_SETTINGS)
     for number in range(4):
         queue.offer(_wait(number), 0)
     refused = queue.offer(_wait(4), turn_s=3).unwrap_err()
@@ -82,8 +84,8 @@
 class _Machine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
-        self.queue = WaitingQueue(_SETTINGS)
-        self.held: dict[int, Waiting] = {}
+        self.queue = RequestQueue(_SETTINGS)
+        self.held: dict[int, QueuedRequest] = {}
         self.number = 0
         self.now = float(0)
 
--- a/crocusshunt/delivery/tests/test_room.py
+++ b/crocusshunt/delivery/tests/test_room.py
@@ -11,8 +11,8 @@
     OutlierDetector,
     ServerLoads,
     choose_server,
-    find_choice,
-    list_choices,
+    find_selection_policy,
+    list_selection_policies,
 )
 from crocusshunt.routing import Server, ServerState
 
@@ -41,24 +41,24 @@
             detector.note_success(server, now)
         else:
             detector.note_failure(server, now)
-        open_servers = detector.select_open(pool, now)
+        open_servers = detector.select_available(pool, now)
         assert len(open_servers) >= size - size // 2
-        assert all(0 < detector.scale(one, now) <= 1 for one in pool)
+        assert all(0 < detector.compute_share(one, now) <= 1 for one in pool)
 
 
 def test_ejected_server_comes_back_slowly() -> None:
     detector = OutlierDetector(_SETTINGS)
     for _ in range(_SETTINGS.failures):
         detector.note_failure(_POOL[0], 0)
-    assert _POOL[0] not in detector.select_open(_POOL, 1.9)
-    assert _POOL[0] in detector.select_open(_POOL, 2)
-    assert detector.scale(_POOL[0], 2) == _SETTINGS.ramp_start
+    assert _POOL[0] not in detector.select_available(_POOL, 1.9)
+    assert _POOL[0] in detector.select_available(_POOL, 2)
+    assert detector.compute_share(_POOL[0], 2) == _SETTINGS.ramp_start
     detector.note_success(_POOL[0], 7)
-    assert round(detector.scale(_POOL[0], 7) * 100) == 55
+    assert round(detector.compute_share(_POOL[0], 7) * 100) == 55
     # One more failure ejects it at once, for twice as long.
     detector.note_failure(_POOL[0], 8)
     detector.note_failure(_POOL[0], 8)
-    assert _POOL[0] not in detector.select_open(_POOL, 11.9)
+    assert _POOL[0] not in detector.select_available(_POOL, 11.9)
 
 
 def test_shed_lowers_the_limit_and_answers_raise_it() -> None:
@@ -76,7 +76,7 @@
 
 def test_no_choice_takes_a_full_draining_or_weightless_server() -> None:
     source = random.Random(1)
-    for name in list_choices():
+    for name in list_selection_policies():
         loads = ServerLoads()
         pool = (
             _POOL[0],
@@ -85,7 +85,7 @@
         )
         for _ in range(_POOL[0].slots):
             chosen = choose_server(
-                pool, loads, source, choose=find_choice(name)
+                pool, loads, source, choose=find_selection_policy(name)
             )
             assert chosen == _POOL[0]
             loads.acquire(_POOL[0])
--- a/crocusshunt/drains/_checks.py
+++ b/crocusshunt/drains/_checks.py
@@ -5,11 +5,17 @@
 from crocusshunt.core import Fault
 from crocusshunt.drains._places import DrainedPlaces
 from crocusshunt.drains._rows import Drain, DrainKind
-from crocusshunt.routing import FailureDomain, Pool, Server, Tables, check
+from crocusshunt.routing import (
+    FailureDomain,
+    Pool,
+    Server,
+    Tables,
+    register_check,
+)
 from crocusshunt.shifts import Shift, ShiftState
 
 
-@check
+@register_check
 def _check_targets(tables: Tables) -> Iterator[Fault]:
     domains = tables.select(FailureDomain)
     known: Mapping[DrainKind, set[str]] = {
@@ -28,7 +34,7 @@
             yield Fault(f'drain {drain.name}', problem, allowed)
 
 
-@check
+@register_check
 def _check_last_servers(tables: Tables) -> Iterator[Fault]:
     """Find the drains that together leave a pool without servers."""
     drains = tables.select(Drain)
@@ -49,7 +55,7 @@
                     )
 
 
-@check
+@register_check
 def _check_shifts(tables: Tables) -> Iterator[Fault]:
     """Find the shifts that move load into a region that is drained."""
     regions = {
--- a/crocusshunt/front/_exchange.py
+++ b/crocusshunt/front/_exchange.py
@@ -237,7 +237,7 @@
                 log_event(
                     'idle connection was forgotten',
                     server=entry.name,
-                    rested_s=round(connection.rested_s, 3),
+                    rested_s=round(connection.idle_s, 3),
                 )
             raise
 
--- a/crocusshunt/front/_inspection.py
+++ b/crocusshunt/front/_inspection.py
@@ -5,7 +5,11 @@
 
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from crocusshunt.delivery import HOP_BY_HOP, find_connection_names, fold_name
+from crocusshunt.delivery import (
+    HOP_BY_HOP,
+    find_connection_options,
+    normalize_header_name,
+)
 from crocusshunt.front._settings import HeaderNames
 
 _AUTHORIZATION = 'Authorization'
@@ -75,9 +79,9 @@
     Left out are those of one connection, those that only the system sets,
     and each that repeats the caller's key.
     """
-    dropped = HOP_BY_HOP | find_connection_names(headers)
+    dropped = HOP_BY_HOP | find_connection_options(headers)
     dropped |= {
-        fold_name(name)
+        normalize_header_name(name)
         for name in (
             _AUTHORIZATION,
             'Content-Length',
@@ -91,7 +95,7 @@
     return [
         (name, text)
         for name, text in headers.items()
-        if fold_name(name) not in dropped
+        if normalize_header_name(name) not in dropped
         and (shown is None or shown not in text)
     ]
 
@@ -104,7 +108,7 @@
         (name.decode('latin-1'), text.decode('utf-8', 'surrogateescape'))
         for name, text in headers
     )
-    dropped = HOP_BY_HOP | find_connection_names(decoded) | {'content-length'}
+    dropped = HOP_BY_HOP | find_connection_options(decoded) | {'content-length'}
     return CIMultiDict(
         (name, text)
         for name, text in decoded.items()
--- a/crocusshunt/gateway/_admission.py
+++ b/crocusshunt/gateway/_admission.py
@@ -13,7 +13,7 @@
 from crocusshunt.replication import Feed
 from crocusshunt.routing import (
     Access,
-    RequestFacts,
+    RequestAttributes,
     Route,
     RouteMatcher,
     Server,
@@ -80,7 +80,7 @@
         key = self._authenticate(ask)
         customer = key.ok_value.customer if isinstance(key, Ok) else ''
         route = self._matcher.find(
-            RequestFacts(
+            RequestAttributes(
                 host=ask.host,
                 path=ask.path,
                 method=ask.method,
--- a/crocusshunt/gateway/_claiming.py
+++ b/crocusshunt/gateway/_claiming.py
@@ -19,7 +19,7 @@
     NotRun,
     RecordedAnswer,
     UnknownOutcome,
-    judge_claim,
+    evaluate_claim,
 )
 from crocusshunt.logs import log_event
 from crocusshunt.store import (
@@ -210,7 +210,7 @@
         row: StoredRow,
     ) -> Result[HeldClaim, Refusal] | _Again:
         found = msgspec.json.decode(row.body, type=Claim)
-        verdict = judge_claim(found, wanted.claim, self._clock.wall())
+        verdict = evaluate_claim(found, wanted.claim, self._clock.wall())
         if isinstance(verdict, ClaimHeld):
             return Ok(HeldClaim(wanted.row_key, found, row.version))
         if isinstance(verdict, ClaimFree):
--- a/crocusshunt/gateway/_dispatch.py
+++ b/crocusshunt/gateway/_dispatch.py
@@ -8,10 +8,10 @@
 from crocusshunt.delivery import (
     Answered,
     Attempt,
+    CrashSuspicion,
     Forwarder,
     Outcome,
     RetryBudget,
-    Suspicion,
 )
 from crocusshunt.gateway._jobs import (
     Ending,
@@ -118,7 +118,7 @@
         job: Job,
         server: Server,
         outcome: Outcome,
-    ) -> Suspicion | None:
+    ) -> CrashSuspicion | None:
         state, now = self._parts.state, self._clock.monotonic()
         if isinstance(outcome, Answered):
             state.loads.note_answer(server)
--- a/crocusshunt/gateway/_jobs.py
+++ b/crocusshunt/gateway/_jobs.py
@@ -6,11 +6,11 @@
     CUSTOMER_HEADER,
     DEADLINE_HEADER,
     REQUEST_ID_HEADER,
-    BrokenOff,
+    CrashSuspicion,
     ForwardRequest,
     NotRun,
     Outcome,
-    Suspicion,
+    ResponseInterrupted,
     UnknownOutcome,
     fingerprint_request,
     prepare_request_headers,
@@ -68,7 +68,7 @@
     """
 
     outcome: Outcome
-    suspicion: Suspicion | None = None
+    suspicion: CrashSuspicion | None = None
 
 
 def refuse_late() -> NotRun:
@@ -92,7 +92,7 @@
     tried: tuple[Server, ...] = ()
     failures: int = 0
     outcome: Outcome = field(default_factory=refuse_late)
-    suspicion: Suspicion | None = None
+    suspicion: CrashSuspicion | None = None
 
     def note(self, server: Server, outcome: Outcome) -> None:
         """Count an attempt."""
@@ -151,4 +151,4 @@
     """Tell whether a server seems to have gone away."""
     if isinstance(outcome, UnknownOutcome):
         return outcome.code == _DISCONNECTED
-    return isinstance(outcome, BrokenOff)
+    return isinstance(outcome, ResponseInterrupted)
--- a/crocusshunt/gateway/_limits.py
+++ b/crocusshunt/gateway/_limits.py
@@ -14,11 +14,11 @@
 )
 from crocusshunt.limits import (
     AdmissionQueue,
+    AdmissionVerdict,
+    BorrowSettings,
     Decision,
     Loan,
     LoanRequest,
-    QueueSettings,
-    Verdict,
 )
 from crocusshunt.messages import BorrowTokens, TokenLoan, TransportError
 
@@ -50,7 +50,9 @@
 @dataclass(slots=True)
 class _Account:
     queue: AdmissionQueue
-    waiting: dict[int, asyncio.Future[Verdict]] = field(default_factory=dict)
+    waiting: dict[int, asyncio.Future[AdmissionVerdict]] = field(
+        default_factory=dict
+    )
     borrower: asyncio.Task[None] | None = None
     last: TokenLoan | None = None
     trouble: str = ''
@@ -65,7 +67,7 @@
         requesters: Requesters,
         clock: Clock,
         identifiers: Identifiers,
-        settings: QueueSettings | None = None,
+        settings: BorrowSettings | None = None,
     ) -> None:
         """Start without tokens.
 
@@ -75,7 +77,7 @@
         self._requesters = requesters
         self._clock = clock
         self._identifiers = identifiers
-        self._settings = settings or QueueSettings()
+        self._settings = settings or BorrowSettings()
         self._accounts: dict[str, _Account] = {}
         self._tickets = 0
 
@@ -113,11 +115,11 @@
         ticket = self._tickets
         now = self._clock.monotonic()
         verdict = account.queue.arrive(ticket, now, patience_s)
-        if verdict is Verdict.waiting:
+        if verdict is AdmissionVerdict.waiting:
             verdict = await self._wait(customer, account, ticket)
         else:
             self._start_borrowing(customer, account)
-        if verdict is Verdict.admitted:
+        if verdict is AdmissionVerdict.admitted:
             return Ok(None)
         return Err(self._describe(account))
 
@@ -126,12 +128,12 @@
         customer: str,
         account: _Account,
         ticket: int,
-    ) -> Verdict:
+    ) -> AdmissionVerdict:
         future = asyncio.get_running_loop().create_future()
         account.waiting[ticket] = future
         self._start_borrowing(customer, account)
         try:
-            verdict: Verdict = await future
+            verdict: AdmissionVerdict = await future
         finally:
             account.waiting.pop(ticket, None)
             account.queue.forget(ticket)
@@ -156,7 +158,7 @@
                 _resolve(account, account.queue.review(now))
             else:
                 await self._borrow(customer, account, request)
-            wake_at = account.queue.wake_at()
+            wake_at = account.queue.find_wake_time()
             if wake_at is None:
                 return
             pause = wake_at - self._clock.monotonic()
@@ -179,7 +181,7 @@
         now = self._clock.monotonic()
         if isinstance(answer, Err):
             account.trouble = answer.err_value.describe()
-            _resolve(account, account.queue.miss(now, _PAUSE_S))
+            _resolve(account, account.queue.note_missing_loan(now, _PAUSE_S))
             return
         account.trouble = ''
         account.last = answer.ok_value
--- a/crocusshunt/gateway/_picking.py
+++ b/crocusshunt/gateway/_picking.py
@@ -67,7 +67,7 @@
         """
         servers = self._admission_control.servers.get(request.pool, ())
         now = self._clock.monotonic()
-        is_open = self._state.outliers.select_open(servers, now)
+        is_open = self._state.outliers.select_available(servers, now)
         if not request.tried:
             return self._choose(request.pool, is_open, now)
         names = {server.name for server in request.tried}
@@ -108,5 +108,5 @@
             servers,
             state.loads,
             self._source,
-            lambda one: state.outliers.scale(one, now),
+            lambda one: state.outliers.compute_share(one, now),
         )
--- a/crocusshunt/gateway/_rooms.py
+++ b/crocusshunt/gateway/_rooms.py
@@ -8,7 +8,12 @@
 from result import Err, Ok, Result
 
 from crocusshunt.core import Clock
-from crocusshunt.delivery import NotRun, QueueSettings, Waiting, WaitingQueue
+from crocusshunt.delivery import (
+    NotRun,
+    QueuedRequest,
+    QueueSettings,
+    RequestQueue,
+)
 from crocusshunt.gateway._picking import RoomRequest, ServerPicker
 from crocusshunt.routing import Priority, Server
 
@@ -22,7 +27,7 @@
 
 @dataclass(slots=True)
 class _Line:
-    queue: WaitingQueue
+    queue: RequestQueue
     granted: dict[int, asyncio.Future[Grant]] = field(default_factory=dict)
     turn_s: float = 0
     taken_at: float = 0
@@ -43,7 +48,7 @@
         self._clock = clock
         self._numbers = count(1)
         self._lines: defaultdict[str, _Line] = defaultdict(
-            lambda: _Line(WaitingQueue(settings)),
+            lambda: _Line(RequestQueue(settings)),
         )
 
     def count_waiting(self) -> int:
@@ -74,7 +79,7 @@
             self._pump(server.pool)
 
     async def _wait(self, line: _Line, request: RoomRequest) -> Grant:
-        waiting = Waiting(
+        waiting = QueuedRequest(
             request.number,
             request.customer,
             request.priority,
@@ -101,7 +106,7 @@
     async def _await_grant(
         self,
         future: asyncio.Future[Grant],
-        waiting: Waiting,
+        waiting: QueuedRequest,
         line: _Line,
     ) -> Grant:
         remaining = max(0, waiting.deadline - self._clock.monotonic())
--- a/crocusshunt/gateway/_settlement.py
+++ b/crocusshunt/gateway/_settlement.py
@@ -2,7 +2,12 @@
 
 from result import Err, Result
 
-from crocusshunt.delivery import Answered, BrokenOff, ClaimState, NotRun
+from crocusshunt.delivery import (
+    Answered,
+    ClaimState,
+    NotRun,
+    ResponseInterrupted,
+)
 from crocusshunt.gateway._claiming import (
     ClaimLedger,
     ClaimRequest,
@@ -58,7 +63,7 @@
         if isinstance(outcome, NotRun) and job.held is not None:
             # Before the answer, so that the caller may repeat at once.
             await self._ledger.record(job.held, ClaimState.released)
-        elif isinstance(outcome, Answered | BrokenOff):
+        elif isinstance(outcome, Answered | ResponseInterrupted):
             self._record_later(job, ClaimState.answered)
         else:
             self._record_later(job, ClaimState.unknown)
--- a/crocusshunt/gateway/_suspects.py
+++ b/crocusshunt/gateway/_suspects.py
@@ -7,10 +7,10 @@
 
 from crocusshunt.core import Clock
 from crocusshunt.delivery import (
+    CrashSuspicion,
     NotRun,
     QuarantineLedger,
     QuarantineSettings,
-    Suspicion,
 )
 from crocusshunt.store import (
     ABSENT,
@@ -76,7 +76,7 @@
         customer: str,
         fingerprint: str,
         loss: str,
-    ) -> Suspicion:
+    ) -> CrashSuspicion:
         """Count a server lost to a request, on this host.
 
         :param loss: the server and the attempt, unique.
@@ -90,7 +90,7 @@
             key = f'{customer}/{fingerprint}'
             await self._store.transact((Write(QUARANTINE_TABLE, key, None),))
 
-    async def share(self, lost: Suspicion) -> None:
+    async def share(self, lost: CrashSuspicion) -> None:
         """Tell the other hosts, and wait until they had time to read it."""
         expected = ABSENT
         for _ in range(_TRIES):
@@ -108,7 +108,9 @@
             lost = self._merge(lost, row.ok_value)
         await asyncio.sleep(POLL_S * 2)
 
-    def _merge(self, lost: Suspicion, row: StoredRow | None) -> Suspicion:
+    def _merge(
+        self, lost: CrashSuspicion, row: StoredRow | None
+    ) -> CrashSuspicion:
         if row is None:
             return lost
         return self._ledger.merge(_decode(row), self._clock.wall())
@@ -125,5 +127,5 @@
         await self._store.transact((write,))
 
 
-def _decode(row: StoredRow) -> Suspicion:
-    return msgspec.json.decode(row.body, type=Suspicion)
+def _decode(row: StoredRow) -> CrashSuspicion:
+    return msgspec.json.decode(row.body, type=CrashSuspicion)
--- a/crocusshunt/gateway/tests/site.py
+++ b/crocusshunt/gateway/tests/site.py
@@ -21,7 +21,6 @@
 from crocusshunt.gateway._refusals import LimitError
 from crocusshunt.keys import Key, digest_key
 from crocusshunt.messages import RequesterPool, SnapshotFeed
-from crocusshunt.storeclient import PlatformSettings
 from crocusshunt.routing import (
     Access,
     Customer,
@@ -32,9 +31,10 @@
     Route,
     Row,
     Server,
-    name_table,
+    find_row_table,
 )
 from crocusshunt.standin import BackendService, PlatformService, RunCounter
+from crocusshunt.storeclient import PlatformSettings
 
 COURT_KEY = 'ck_court_0123456789'
 BAR_KEY = 'ck_bar_9876543210'
@@ -148,7 +148,8 @@
 
 def configure(gateway: GatewayService, rows: Iterable[Row]) -> None:
     edits = tuple(
-        Edit(name_table(row), row.name, None, encode_row(row)) for row in rows
+        Edit(find_row_table(row), row.name, None, encode_row(row))
+        for row in rows
     )
     revision = gateway.feed.configuration.revision + 1
     snapshot = SnapshotFeed(revision, '', edits, Evidence(revision, 0))
--- a/crocusshunt/gateway/tests/test_drained.py
+++ b/crocusshunt/gateway/tests/test_drained.py
@@ -8,7 +8,7 @@
 from crocusshunt.gateway._admission import AdmissionControl
 from crocusshunt.messages import SnapshotFeed
 from crocusshunt.replication import Feed
-from crocusshunt.routing import Pool, Row, Server, name_table
+from crocusshunt.routing import Pool, Row, Server, find_row_table
 
 _SERVERS = (
     Server('s1', 'verify', '10.0.0.1:80', 'addis', 'addis-a', slots=4),
@@ -42,7 +42,8 @@
 
 def _put_in_force(feed: Feed, revision: int, rows: tuple[Row, ...]) -> None:
     edits = tuple(
-        Edit(name_table(row), row.name, None, encode_row(row)) for row in rows
+        Edit(find_row_table(row), row.name, None, encode_row(row))
+        for row in rows
     )
     snapshot = SnapshotFeed(revision, f'{revision:064}', edits, Evidence(1, 0))
     assert feed.accept_snapshot(snapshot, asked_at=0)
--- a/crocusshunt/gateway/tests/test_evidence.py
+++ b/crocusshunt/gateway/tests/test_evidence.py
@@ -23,7 +23,7 @@
     Route,
     Row,
     Server,
-    name_table,
+    find_row_table,
 )
 from crocusshunt.witnesses import Announcement, Witness
 from crocusshunt.witnesses import Testimony as Given
@@ -55,7 +55,8 @@
         *(Witness(f'w{seat[-1]}', seat, 'addis', 'a') for seat in _SEATS),
     )
     edits = tuple(
-        Edit(name_table(row), row.name, None, encode_row(row)) for row in rows
+        Edit(find_row_table(row), row.name, None, encode_row(row))
+        for row in rows
     )
     genesis = Configuration().digest
     change = seal_change(Change(1, 'c1', 'mina', 'first', 0, edits, genesis))
--- a/crocusshunt/keys/__init__.py
+++ b/crocusshunt/keys/__init__.py
@@ -1,6 +1,6 @@
 """Callers' keys: digests, extraction from requests, authentication."""
 
-from crocusshunt.keys._digests import create_key, digest_key, split_key
+from crocusshunt.keys._digests import create_key, digest_key, extract_key_name
 from crocusshunt.keys._keyring import (
     Digest,
     Key,
@@ -15,13 +15,13 @@
 __all__ = (
     'Digest',
     'Key',
-    'RefusedKeyError',
     'KeyState',
     'Keyring',
     'MissingKeyError',
+    'RefusedKeyError',
     'UnknownKeyError',
     'WithdrawnKeyError',
     'create_key',
     'digest_key',
-    'split_key',
+    'extract_key_name',
 )
--- a/crocusshunt/keys/_digests.py
+++ b/crocusshunt/keys/_digests.py
@@ -29,10 +29,10 @@
     return sha256(key.encode(errors='surrogatepass')).hexdigest()
 
 
-def split_key(key: str) -> str:
+def extract_key_name(key: str) -> str:
     """Return the public name inside a key, or an empty text.
 
-    >>> split_key('ck_court-1_00'), split_key('letmein')
+    >>> extract_key_name('ck_court-1_00'), extract_key_name('letmein')
     ('court-1', '')
     """
     parts = key.split(_SEPARATOR)
--- a/crocusshunt/keys/_keyring.py
+++ b/crocusshunt/keys/_keyring.py
@@ -10,8 +10,14 @@
 from result import Err, Ok, Result
 
 from crocusshunt.core import CrocusError, Fault
-from crocusshunt.keys._digests import digest_key, split_key
-from crocusshunt.routing import Customer, Name, Tables, check, register_table
+from crocusshunt.keys._digests import digest_key, extract_key_name
+from crocusshunt.routing import (
+    Customer,
+    Name,
+    Tables,
+    register_check,
+    register_table,
+)
 
 Digest = Annotated[str, Meta(pattern='^[0-9a-f]{64}$')]
 
@@ -91,7 +97,7 @@
         """
         if not presented:
             return Err(MissingKeyError())
-        row = self._keys.get(split_key(presented))
+        row = self._keys.get(extract_key_name(presented))
         if row is None:
             return Err(UnknownKeyError())
         if not compare_digest(row.digest, digest_key(presented)):
@@ -101,7 +107,7 @@
         return Ok(row)
 
 
-@check
+@register_check
 def _check_customers_of_keys(tables: Tables) -> Iterator[Fault]:
     customers = {customer.name for customer in tables.select(Customer)}
     for key in tables.select(Key):
--- a/crocusshunt/limits/__init__.py
+++ b/crocusshunt/limits/__init__.py
@@ -1,12 +1,12 @@
 """Rate and burst of customers, counted over all hosts together."""
 
-from crocusshunt.limits._drift import DRIFT_RATIO, lengthen, shorten
+from crocusshunt.limits._drift import DRIFT_RATIO, add_drift, subtract_drift
 from crocusshunt.limits._lease import (
     ROW_LEASE_S,
     SHARD_COUNT,
     SUPPORT_S,
     LeaseRow,
-    Level,
+    TokenLevel,
     choose_witnesses,
     decode_lease,
     encode_lease,
@@ -15,24 +15,24 @@
 from crocusshunt.limits._ledger import (
     LOAN_LIFETIME_S,
     HomeLedger,
+    LendingTerm,
     Loan,
     LoanRequest,
     Settlement,
-    Tenure,
 )
 from crocusshunt.limits._queue import (
     AdmissionQueue,
+    AdmissionVerdict,
+    BorrowSettings,
     Decision,
-    QueueSettings,
-    Verdict,
 )
 from crocusshunt.limits._tenancy import (
-    Candidate,
-    Tenancy,
+    HeldLease,
+    LeaseCandidate,
+    build_release_row,
+    build_takeover_row,
+    build_witness_change_row,
     may_acquire,
-    release,
-    replace_witnesses,
-    succeed,
 )
 from crocusshunt.limits._token_cache import TokenCache
 from crocusshunt.limits._witness import Witness
@@ -44,28 +44,28 @@
     'SHARD_COUNT',
     'SUPPORT_S',
     'AdmissionQueue',
-    'Candidate',
+    'AdmissionVerdict',
+    'BorrowSettings',
     'Decision',
+    'HeldLease',
     'HomeLedger',
+    'LeaseCandidate',
     'LeaseRow',
-    'Level',
+    'LendingTerm',
     'Loan',
     'LoanRequest',
-    'QueueSettings',
     'Settlement',
-    'Tenancy',
-    'Tenure',
-    'Verdict',
     'TokenCache',
+    'TokenLevel',
     'Witness',
+    'add_drift',
+    'build_release_row',
+    'build_takeover_row',
+    'build_witness_change_row',
     'choose_witnesses',
     'decode_lease',
     'encode_lease',
     'find_shard',
-    'lengthen',
     'may_acquire',
-    'release',
-    'replace_witnesses',
-    'shorten',
-    'succeed',
+    'subtract_drift',
 )
--- a/crocusshunt/limits/_drift.py
+++ b/crocusshunt/limits/_drift.py
@@ -4,23 +4,23 @@
 DRIFT_RATIO = 0.001
 
 
-def shorten(duration_s: float) -> float:
+def subtract_drift(duration_s: float) -> float:
     """Return a duration that is over on every clock when it is over here.
 
     :param duration_s: seconds granted by another host.
 
-    >>> shorten(10)
+    >>> subtract_drift(10)
     9.99
     """
     return duration_s * (1 - DRIFT_RATIO)
 
 
-def lengthen(duration_s: float) -> float:
+def add_drift(duration_s: float) -> float:
     """Return a duration after which the given one is over on every clock.
 
     :param duration_s: seconds granted to another host.
 
-    >>> round(lengthen(10), 2)
+    >>> round(add_drift(10), 2)
     10.01
     """
     return duration_s * (1 + DRIFT_RATIO)
--- a/crocusshunt/limits/_lease.py
+++ b/crocusshunt/limits/_lease.py
@@ -13,7 +13,7 @@
 _DIGEST_BYTES = 8
 
 
-class Level(msgspec.Struct, frozen=True):
+class TokenLevel(msgspec.Struct, frozen=True):
     """Tokens that a home left for the next one."""
 
     customer: str
@@ -37,7 +37,7 @@
     epoch: int
     witnesses: tuple[str, ...]
     unfenced: tuple[tuple[str, ...], ...] = ()
-    levels: tuple[Level, ...] = ()
+    levels: tuple[TokenLevel, ...] = ()
     released_by: str = ''
 
 
--- a/crocusshunt/limits/_ledger.py
+++ b/crocusshunt/limits/_ledger.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from crocusshunt.core import Clock
-from crocusshunt.limits._drift import lengthen, shorten
+from crocusshunt.limits._drift import add_drift, subtract_drift
 from crocusshunt.routing import Customer
 
 LOAN_LIFETIME_S = 0.5
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tenure:
+class LendingTerm:
     """Time in which this process alone lends a customer's tokens.
 
     :param number: higher for each later tenure.
@@ -90,7 +90,7 @@
 
     >>> from crocusshunt.core import ManualClock
     >>> clock = ManualClock()
-    >>> ledger, tenure = HomeLedger(clock), Tenure(1, started_at=0)
+    >>> ledger, tenure = HomeLedger(clock), LendingTerm(1, started_at=0)
     >>> court = Customer('court', rate=10, burst=5)
     >>> ledger.lend(court, LoanRequest('a', 1), tenure).granted
     0
@@ -108,7 +108,7 @@
         self,
         customer: Customer,
         request: LoanRequest,
-        tenure: Tenure,
+        tenure: LendingTerm,
     ) -> Loan:
         """Lend up to the wanted number of tokens.
 
@@ -127,11 +127,13 @@
             account.loans[request.loan_id] = _OpenLoan(
                 loan,
                 loan.granted,
-                self._clock.monotonic() + lengthen(LOAN_LIFETIME_S),
+                self._clock.monotonic() + add_drift(LOAN_LIFETIME_S),
             )
         return loan
 
-    def place(self, customer: Customer, tokens: float, tenure: Tenure) -> None:
+    def restore_tokens(
+        self, customer: Customer, tokens: float, tenure: LendingTerm
+    ) -> None:
         """Start an account with the tokens that the home before left."""
         account = _Account(
             tenure.number,
@@ -141,20 +143,22 @@
         )
         self._accounts[customer.name] = account
 
-    def measure(self, customer: Customer, tenure: Tenure) -> float:
+    def measure_transferable(
+        self, customer: Customer, tenure: LendingTerm
+    ) -> float:
         """Return the tokens left for the next home, none while any is lent."""
         account = self._refresh(customer, tenure)
         if _count_outstanding(account):
             return 0
         return account.level
 
-    def drop_full(self, customer: Customer, tenure: Tenure) -> None:
+    def drop_full(self, customer: Customer, tenure: LendingTerm) -> None:
         """Forget an account that is as good as new."""
         account = self._refresh(customer, tenure)
         if account.level >= customer.burst and not account.loans:
             self._accounts.pop(customer.name)
 
-    def _refresh(self, customer: Customer, tenure: Tenure) -> _Account:
+    def _refresh(self, customer: Customer, tenure: LendingTerm) -> _Account:
         now = self._clock.monotonic()
         account = self._accounts.get(customer.name)
         if account is None or account.tenure != tenure.number:
@@ -168,7 +172,7 @@
         # A changed rate counts from now on; the lower one counts until now.
         rate = min(customer.rate, account.rate)
         account.rate = customer.rate
-        account.level += shorten(now - account.updated_at) * rate
+        account.level += subtract_drift(now - account.updated_at) * rate
         account.updated_at = now
         # What is settled in time is gone from the loans already.
         account.loans = {
--- a/crocusshunt/limits/_queue.py
+++ b/crocusshunt/limits/_queue.py
@@ -12,7 +12,7 @@
 _DEMAND_MEMORY_S = 1
 
 
-class Verdict(str, Enum):
+class AdmissionVerdict(str, Enum):
     """What becomes of a request that wants a token."""
 
     admitted = 'admitted'
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QueueSettings:
+class BorrowSettings:
     """How a gateway borrows.
 
     :param ahead_s: tokens borrowed before they are needed, as seconds of
@@ -38,7 +38,7 @@
     """Verdict on a request that had to wait."""
 
     ticket: int
-    verdict: Verdict
+    verdict: AdmissionVerdict
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,15 +53,15 @@
     The home says when the next token is there at the soonest. A request whose
     place in the queue needs more time than its caller has is refused at once.
 
-    >>> queue = AdmissionQueue(QueueSettings(), rate=10)
+    >>> queue = AdmissionQueue(BorrowSettings(), rate=10)
     >>> queue.arrive(1, now=0, patience_s=0.2)
-    <Verdict.waiting: 'waiting'>
+    <AdmissionVerdict.waiting: 'waiting'>
     >>> request = queue.plan('a', now=0)
     >>> queue.receive(Loan('a', 1, 0.5, 0, 0), now=0.01)
-    (Decision(ticket=1, verdict=<Verdict.admitted: 'admitted'>),)
+    (Decision(ticket=1, verdict=<AdmissionVerdict.admitted: 'admitted'>),)
     """
 
-    def __init__(self, settings: QueueSettings, rate: float) -> None:
+    def __init__(self, settings: BorrowSettings, rate: float) -> None:
         """Start without tokens.
 
         :param rate: tokens a second that the customer gains.
@@ -75,7 +75,9 @@
         self._demand: float = 0
         self._arrived_at: float = 0
 
-    def arrive(self, ticket: int, now: float, patience_s: float) -> Verdict:
+    def arrive(
+        self, ticket: int, now: float, patience_s: float
+    ) -> AdmissionVerdict:
         """Take a token, join the queue or be refused.
 
         :param ticket: identifies the request in a later decision.
@@ -84,12 +86,12 @@
         """
         self._count_demand(now)
         if not self._waiters and self.token_cache.take(now):
-            return Verdict.admitted
+            return AdmissionVerdict.admitted
         position = len(self._waiters)
         if self._estimate(position, now) > patience_s:
-            return Verdict.refused
+            return AdmissionVerdict.refused
         self._waiters.append(_Waiter(ticket, now + patience_s))
-        return Verdict.waiting
+        return AdmissionVerdict.waiting
 
     def plan(self, loan_id: str, now: float) -> LoanRequest | None:
         """Return the request for tokens to send now, if any is due."""
@@ -114,7 +116,9 @@
         self.next_token_at = now if loan.remaining else now + pause
         return self.review(now)
 
-    def miss(self, now: float, pause_s: float) -> tuple[Decision, ...]:
+    def note_missing_loan(
+        self, now: float, pause_s: float
+    ) -> tuple[Decision, ...]:
         """Note that no loan came, and ask again after a pause."""
         self._asked_at = None
         self.next_token_at = now + pause_s
@@ -126,7 +130,7 @@
         remaining: deque[_Waiter] = deque()
         for waiter in self._waiters:
             verdict = self._judge(waiter, len(remaining), now)
-            if verdict is Verdict.waiting:
+            if verdict is AdmissionVerdict.waiting:
                 remaining.append(waiter)
             else:
                 decisions.append(Decision(waiter.ticket, verdict))
@@ -139,7 +143,7 @@
             waiter for waiter in self._waiters if waiter.ticket != ticket
         )
 
-    def wake_at(self) -> float | None:
+    def find_wake_time(self) -> float | None:
         """Return when to plan or review next, None if nobody waits."""
         if not self._waiters:
             return None
@@ -153,14 +157,16 @@
         is_quiet = now - self._arrived_at > _DEMAND_MEMORY_S
         return is_quiet and not self._waiters and self._asked_at is None
 
-    def _judge(self, waiter: _Waiter, position: int, now: float) -> Verdict:
+    def _judge(
+        self, waiter: _Waiter, position: int, now: float
+    ) -> AdmissionVerdict:
         if waiter.give_up_at <= now:
-            return Verdict.refused
+            return AdmissionVerdict.refused
         if not position and self.token_cache.take(now):
-            return Verdict.admitted
+            return AdmissionVerdict.admitted
         if now + self._estimate(position, now) > waiter.give_up_at:
-            return Verdict.refused
-        return Verdict.waiting
+            return AdmissionVerdict.refused
+        return AdmissionVerdict.waiting
 
     def _estimate(self, position: int, now: float) -> float:
         if self._asked_at is not None or self.next_token_at <= now:
--- a/crocusshunt/limits/_tenancy.py
+++ b/crocusshunt/limits/_tenancy.py
@@ -4,21 +4,21 @@
 
 import msgspec
 
-from crocusshunt.limits._drift import lengthen, shorten
+from crocusshunt.limits._drift import add_drift, subtract_drift
 from crocusshunt.limits._lease import (
     ROW_LEASE_S,
     SUPPORT_S,
     LeaseRow,
-    Level,
+    TokenLevel,
     has_majority,
 )
-from crocusshunt.limits._ledger import Tenure
+from crocusshunt.limits._ledger import LendingTerm
 
 _RENEWALS_A_LEASE = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Candidate:
+class LeaseCandidate:
     """A process that may take a shard.
 
     :param host: name of its host.
@@ -34,7 +34,7 @@
     witnesses: tuple[str, ...]
 
 
-def may_acquire(row: LeaseRow | None, candidate: Candidate) -> bool:
+def may_acquire(row: LeaseRow | None, candidate: LeaseCandidate) -> bool:
     """Tell whether a candidate should take a shard over.
 
     :param row: the shard's row, None if there is none.
@@ -45,7 +45,9 @@
     return candidate.is_home and is_free
 
 
-def succeed(row: LeaseRow | None, candidate: Candidate) -> LeaseRow:
+def build_takeover_row(
+    row: LeaseRow | None, candidate: LeaseCandidate
+) -> LeaseRow:
     """Return the row with which a candidate takes a shard over.
 
     A released row has no holder to fence.
@@ -63,7 +65,9 @@
     )
 
 
-def replace_witnesses(row: LeaseRow, witnesses: tuple[str, ...]) -> LeaseRow:
+def build_witness_change_row(
+    row: LeaseRow, witnesses: tuple[str, ...]
+) -> LeaseRow:
     """Return the row with which a holder changes its witnesses.
 
     The old ones stay listed: the write may take effect while the holder,
@@ -78,7 +82,9 @@
     )
 
 
-def release(tenancy: 'Tenancy', levels: tuple[Level, ...]) -> LeaseRow:
+def build_release_row(
+    tenancy: 'HeldLease', levels: tuple[TokenLevel, ...]
+) -> LeaseRow:
     """Return the row of a holder that has stopped lending.
 
     One that never began leaves the earlier holders to be fenced.
@@ -97,7 +103,7 @@
 
 
 @dataclass(slots=True)
-class Tenancy:
+class HeldLease:
     """What the holder of a row may do, as far as it knows itself.
 
     :param version: version of the row in the table service.
@@ -121,7 +127,7 @@
 
     def add_support(self, witness: str, asked_at: float) -> None:
         """Count support from before it was asked for."""
-        until = asked_at + shorten(SUPPORT_S)
+        until = asked_at + subtract_drift(SUPPORT_S)
         self.supports[witness] = max(until, self.supports.get(witness, until))
 
     def add_clearance(
@@ -131,7 +137,7 @@
         wait_s: float,
     ) -> None:
         """Note when a witness' earlier support will be over."""
-        self.cleared[witness] = received_at + lengthen(wait_s)
+        self.cleared[witness] = received_at + add_drift(wait_s)
 
     def is_clear(self, now: float) -> bool:
         """Tell whether every earlier holder has certainly stopped.
@@ -139,7 +145,7 @@
         None can renew a row that has changed, so all have stopped when the
         longest lease of a row is over.
         """
-        if now >= self.acquired_at + lengthen(ROW_LEASE_S):
+        if now >= self.acquired_at + add_drift(ROW_LEASE_S):
             return True
         cleared = {host for host, at in self.cleared.items() if at <= now}
         return all(
@@ -167,16 +173,16 @@
         margin = ROW_LEASE_S - ROW_LEASE_S / _RENEWALS_A_LEASE
         return self.row_until < now + margin
 
-    def renew_row(self) -> LeaseRow:
+    def build_renewal_row(self) -> LeaseRow:
         """Return the row to write, without fenced holders."""
         if self.started_at is None:
             return self.row
         return msgspec.structs.replace(self.row, unfenced=())
 
-    def find_tenure(self, until: float) -> Tenure | None:
+    def find_term(self, until: float) -> LendingTerm | None:
         """Return the tenure if it certainly lasts up to a time."""
         if self.started_at is None or self.is_releasing:
             return None
         if not self.is_supported(until):
             return None
-        return Tenure(self.number, self.started_at)
+        return LendingTerm(self.number, self.started_at)
--- a/crocusshunt/limits/_token_cache.py
+++ b/crocusshunt/limits/_token_cache.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from crocusshunt.limits._drift import shorten
+from crocusshunt.limits._drift import subtract_drift
 from crocusshunt.limits._ledger import Loan, Settlement
 
 
@@ -38,7 +38,7 @@
         is_seen = loan.loan_id in self._batches
         if is_seen or loan.loan_id in self._settled_until:
             return
-        expires_at = asked_at + shorten(loan.lifetime_s)
+        expires_at = asked_at + subtract_drift(loan.lifetime_s)
         self._batches[loan.loan_id] = _Batch(
             loan.loan_id,
             loan.granted,
--- a/crocusshunt/limits/_witness.py
+++ b/crocusshunt/limits/_witness.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from crocusshunt.limits._drift import lengthen
+from crocusshunt.limits._drift import add_drift
 from crocusshunt.limits._lease import SUPPORT_S
 
 
@@ -21,7 +21,7 @@
     support from its start before it says that an earlier holder has none.
 
     >>> witness = Witness(started_at=0)
-    >>> witness.learn('0001', epoch=3)
+    >>> witness.record_epoch('0001', epoch=3)
     >>> witness.support('0001', epoch=3, now=5)
     True
     >>> round(witness.fence('0001', epoch=4, now=6), 3)
@@ -38,15 +38,15 @@
 
         :param started_at: monotonic time in seconds.
         """
-        self._ready_at = started_at + lengthen(SUPPORT_S)
+        self._ready_at = started_at + add_drift(SUPPORT_S)
         self._memories: dict[str, _Memory] = {}
 
-    def is_ignorant(self, shard: str) -> bool:
+    def is_row_needed(self, shard: str) -> bool:
         """Tell whether the shard's row must be read first."""
         memory = self._memories.get(shard)
         return memory is None or not memory.is_verified
 
-    def learn(self, shard: str, epoch: int) -> None:
+    def record_epoch(self, shard: str, epoch: int) -> None:
         """Note the epoch of a row read after this process started."""
         memory = self._memories.setdefault(shard, _Memory(epoch))
         memory.epoch = max(memory.epoch, epoch)
@@ -60,7 +60,7 @@
         if epoch < memory.epoch:
             return False
         memory.epoch = epoch
-        memory.supported_until = now + lengthen(SUPPORT_S)
+        memory.supported_until = now + add_drift(SUPPORT_S)
         return True
 
     def fence(self, shard: str, epoch: int, now: float) -> float | None:
--- a/crocusshunt/limits/tests/test_exactness.py
+++ b/crocusshunt/limits/tests/test_exactness.py
@@ -13,18 +13,18 @@
     LOAN_LIFETIME_S,
     ROW_LEASE_S,
     SUPPORT_S,
-    Candidate,
+    HeldLease,
     HomeLedger,
+    LeaseCandidate,
     LeaseRow,
+    LendingTerm,
     Loan,
     LoanRequest,
     Settlement,
-    Tenancy,
-    Tenure,
     TokenCache,
     Witness,
-    lengthen,
-    succeed,
+    add_drift,
+    build_takeover_row,
 )
 from crocusshunt.routing import Customer
 
@@ -43,7 +43,7 @@
     incarnation: str
     witness: Witness
     ledger: HomeLedger
-    tenancy: Tenancy | None = None
+    tenancy: HeldLease | None = None
     token_cache: TokenCache = field(default_factory=TokenCache)
     settled: tuple[Settlement, ...] = ()
 
@@ -99,10 +99,10 @@
         """Take the row, however wrongly."""
         host = self.hosts[name]
         live = frozenset(_NAMES)
-        candidate = Candidate(name, host.incarnation, live, True, _NAMES)
-        self.row = succeed(self.row, candidate)
+        candidate = LeaseCandidate(name, host.incarnation, live, True, _NAMES)
+        self.row = build_takeover_row(self.row, candidate)
         now = host.clock.monotonic()
-        host.tenancy = Tenancy(self.row, 0, now, now + ROW_LEASE_S)
+        host.tenancy = HeldLease(self.row, 0, now, now + ROW_LEASE_S)
 
     @rule(name=_HOST, witnesses=st.sets(_HOST, min_size=2))
     def gather(self, name: str, witnesses: set[str]) -> None:
@@ -178,18 +178,18 @@
         ]
         assert len(lenders) <= 1
 
-    def _find_tenure(self, host: _Host) -> Tenure | None:
+    def _find_tenure(self, host: _Host) -> LendingTerm | None:
         if host.tenancy is None:
             return None
-        until = host.clock.monotonic() + lengthen(LOAN_LIFETIME_S)
-        return host.tenancy.find_tenure(until)
+        until = host.clock.monotonic() + add_drift(LOAN_LIFETIME_S)
+        return host.tenancy.find_term(until)
 
     def _answer(self, mail: _Mail) -> None:
         witness = self.hosts[mail.target].witness
         asker = self.hosts[mail.sender]
         now = self.hosts[mail.target].clock.monotonic()
-        if witness.is_ignorant(_SHARD) and self.row is not None:
-            witness.learn(_SHARD, self.row.epoch)
+        if witness.is_row_needed(_SHARD) and self.row is not None:
+            witness.record_epoch(_SHARD, self.row.epoch)
         tenancy = asker.tenancy
         if tenancy is None or tenancy.row.epoch != mail.epoch:
             tenancy = None
@@ -216,7 +216,7 @@
 def test_changed_rate_counts_from_the_change_on() -> None:
     clock = ManualClock()
     ledger = HomeLedger(clock)
-    tenure = Tenure(1, 0)
+    tenure = LendingTerm(1, 0)
     ledger.lend(_CUSTOMER, LoanRequest('a', 1), tenure)
     clock.advance(1)
     richer = Customer('cellar', rate=400, burst=600)
@@ -226,7 +226,7 @@
 def test_smaller_burst_waits_for_open_loans() -> None:
     clock = ManualClock(10)
     ledger = HomeLedger(clock)
-    tenure = Tenure(1, 0)
+    tenure = LendingTerm(1, 0)
     assert ledger.lend(_CUSTOMER, LoanRequest('a', 6), tenure).granted == 6
     clock.advance(0.45)
     smaller = Customer('cellar', rate=4, burst=2)
@@ -237,7 +237,7 @@
 def test_settlement_counts_once(repeats: int) -> None:
     clock = ManualClock(10)
     ledger = HomeLedger(clock)
-    tenure = Tenure(1, 0)
+    tenure = LendingTerm(1, 0)
     ledger.lend(_CUSTOMER, LoanRequest('a', 6), tenure)
     settled = (Settlement('a', 2),) * repeats
     loan = ledger.lend(_CUSTOMER, LoanRequest('b', 6, settled), tenure)
@@ -247,7 +247,7 @@
 def test_open_loans_count_under_the_burst() -> None:
     clock = ManualClock(10)
     ledger = HomeLedger(clock)
-    tenure = Tenure(1, 0)
+    tenure = LendingTerm(1, 0)
     assert ledger.lend(_CUSTOMER, LoanRequest('a', 6), tenure).granted == 6
     clock.advance(0.45)
     assert not ledger.lend(_CUSTOMER, LoanRequest('b', 6), tenure).granted
@@ -263,4 +263,4 @@
 def test_restarted_witness_waits_for_its_former_support() -> None:
     witness = Witness(started_at=100)
     wait_s = witness.fence(_SHARD, epoch=2, now=101)
-    assert wait_s == pytest.approx(lengthen(SUPPORT_S) - 1)
+    assert wait_s == pytest.approx(add_drift(SUPPORT_S) - 1)
--- a/crocusshunt/locator/_lookups.py
+++ b/crocusshunt/locator/_lookups.py
@@ -11,7 +11,14 @@
 from crocusshunt.core import CrocusError, IPAddress
 from crocusshunt.drains import Drain, DrainedPlaces
 from crocusshunt.membership import HostTable
-from crocusshunt.routing import Block, Customer, Link, Route, Server, Tables
+from crocusshunt.routing import (
+    AddressBlock,
+    Customer,
+    Link,
+    Route,
+    Server,
+    Tables,
+)
 from crocusshunt.steering import BlockTable, Caller, Directory, measure_delays
 
 _LISTED_HOSTS = 4
@@ -99,10 +106,10 @@
 
     def accept(self, configuration: Configuration) -> None:
         """Take a new configuration, by its difference where it is large."""
-        before = self._tables.select(Block)
+        before = self._tables.select(AddressBlock)
         self._tables = configuration.tables
         self._revision = configuration.revision
-        after = self._tables.select(Block)
+        after = self._tables.select(AddressBlock)
         gone = set(before).difference(after)
         come = set(after).difference(before)
         self._blocks.update(gone, come)
--- a/crocusshunt/locator/tests/test_lookups.py
+++ b/crocusshunt/locator/tests/test_lookups.py
@@ -8,7 +8,7 @@
 from crocusshunt.membership import HostTable
 from crocusshunt.membership.tests.network import create_listing
 from crocusshunt.messages import HostList, RequesterPool
-from crocusshunt.routing import Block, Pool, Route, Server, Tables
+from crocusshunt.routing import AddressBlock, Pool, Route, Server, Tables
 
 _FORWARDER = '10.0.0.9'
 _LIFETIME_S = 5
@@ -23,8 +23,8 @@
 
 def _create_tables(region: str) -> Tables:
     return Tables().put(
-        Block('one', '10.0.0.0/8', region),
-        Block('six', '2001:db8::/32', 'b'),
+        AddressBlock('one', '10.0.0.0/8', region),
+        AddressBlock('six', '2001:db8::/32', 'b'),
         Pool('p'),
         Route('r', 'p'),
         Server('s', 'p', '10.9.0.1:80', 'b', 'b-0', 4),
--- a/crocusshunt/operators/_permissions.py
+++ b/crocusshunt/operators/_permissions.py
@@ -6,7 +6,7 @@
 from crocusshunt.core import Fault
 from crocusshunt.keys import Key
 from crocusshunt.operators._roles import Operator, Role
-from crocusshunt.routing import Tables, check
+from crocusshunt.routing import Tables, register_check
 
 _ADMINISTERED_TABLES = frozenset(('operator',))
 
@@ -33,7 +33,7 @@
     return Role.operate
 
 
-@check
+@register_check
 def _check_administrator(tables: Tables) -> Iterator[Fault]:
     operators = tables.select(Operator)
     roles = {operator.role for operator in operators}
@@ -45,7 +45,7 @@
         )
 
 
-@check
+@register_check
 def _check_separate_keys(tables: Tables) -> Iterator[Fault]:
     owners: dict[str, str] = {}
     for place, digest in _list_digests(tables):
--- a/crocusshunt/plans/_traffic.py
+++ b/crocusshunt/plans/_traffic.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 
 from crocusshunt.plans._registry import Consequence, pair_rows, rule, warn
-from crocusshunt.routing import Block, Customer, Link, Route, Tables
+from crocusshunt.routing import AddressBlock, Customer, Link, Route, Tables
 
 
 @rule
@@ -58,7 +58,7 @@
 
 @rule
 def _find_moved_blocks(held: Tables, wanted: Tables) -> Iterator[Consequence]:
-    for block, after in pair_rows(held, wanted, Block):
+    for block, after in pair_rows(held, wanted, AddressBlock):
         target = after.region if after else 'no region of their own'
         if target != block.region:
             yield warn(
--- a/crocusshunt/plans/tests/test_consequences.py
+++ b/crocusshunt/plans/tests/test_consequences.py
@@ -11,7 +11,7 @@
 from crocusshunt.plans import Severity, find_consequences, preview_edits
 from crocusshunt.routing import (
     Access,
-    Block,
+    AddressBlock,
     Customer,
     Link,
     Pool,
@@ -21,7 +21,7 @@
     Server,
     ServerState,
     Tables,
-    name_table,
+    find_row_table,
 )
 from crocusshunt.shifts import Shift, ShiftState
 
@@ -29,7 +29,7 @@
 _ROUTE = Route('verify', 'verify', idempotent=False)
 _CUSTOMER = Customer('court', 20, 40)
 _OPERATOR = Operator('mina', Role.administer, 'b' * 64)
-_BLOCK = Block('addis', '10.0.0.0/8', 'addis')
+_BLOCK = AddressBlock('addis', '10.0.0.0/8', 'addis')
 _LINK = Link('addis-dire', 'addis', 'dire', 100, 55)
 _SERVERS = tuple(
     Server(f's{number}', 'verify', f'10.0.0.{number}:80', region, 'a', 4)
@@ -81,7 +81,7 @@
     [_KEY, _ROUTE, _CUSTOMER, _OPERATOR, _BLOCK, _LINK, _SERVERS[0]],
 )
 def test_danger_of_a_removed_row(row: Row) -> None:
-    table = name_table(row)
+    table = find_row_table(row)
     wanted = _HELD.remove(table, (row.name,))
     found = find_consequences(_HELD, wanted)
     dangers = {one.place for one in found if one.severity is Severity.danger}
--- a/crocusshunt/programs/tests/site.py
+++ b/crocusshunt/programs/tests/site.py
@@ -26,7 +26,7 @@
     Route,
     Row,
     Server,
-    name_table,
+    find_row_table,
 )
 from crocusshunt.standin import Switches
 from crocusshunt.store import HostEntry
@@ -151,7 +151,7 @@
         *rows: Row,
     ) -> Result[AcceptedDocument, ApiError]:
         edits = tuple(
-            EditRequest(name_table(row), row.name, encode_row(row))
+            EditRequest(find_row_table(row), row.name, encode_row(row))
             for row in rows
         )
         client = OperatorClient(self.url('api'), _OPERATOR_KEY)
--- a/crocusshunt/replication/tests/test_outage.py
+++ b/crocusshunt/replication/tests/test_outage.py
@@ -17,7 +17,7 @@
 from crocusshunt.core import ManualClock
 from crocusshunt.messages import ChangeFeed, FetchChanges, SnapshotFeed
 from crocusshunt.replication import Feed
-from crocusshunt.routing import FailureDomain, Row, name_table
+from crocusshunt.routing import FailureDomain, Row, find_row_table
 from crocusshunt.witnesses import Announcement, AnnouncementLog, Witness
 from crocusshunt.witnesses import Testimony as Given
 
@@ -45,7 +45,8 @@
         ),
     )
     edits = tuple(
-        Edit(name_table(row), row.name, None, encode_row(row)) for row in rows
+        Edit(find_row_table(row), row.name, None, encode_row(row))
+        for row in rows
     )
     genesis = Configuration().digest
     return seal_change(Change(1, 'c1', 'mina', 'first', 0, edits, genesis))
--- a/crocusshunt/routing/__init__.py
+++ b/crocusshunt/routing/__init__.py
@@ -2,28 +2,28 @@
 
 from crocusshunt.routing import _checks as checks
 from crocusshunt.routing._check_registry import (
-    check,
-    check_change,
     find_change_faults,
     find_faults,
     find_shared_addresses,
+    register_change_check,
+    register_check,
 )
 from crocusshunt.routing._matching import (
-    RequestFacts,
+    RequestAttributes,
     RouteMatcher,
     order_routes,
 )
 from crocusshunt.routing._registry import (
     Row,
+    find_row_table,
+    find_row_type,
     is_table,
-    name_table,
+    list_tables,
     register_table,
-    row_type,
-    table_names,
 )
 from crocusshunt.routing._rows import (
     Access,
-    Block,
+    AddressBlock,
     Customer,
     FailureDomain,
     Link,
@@ -39,14 +39,14 @@
 
 __all__ = (
     'Access',
-    'Block',
+    'AddressBlock',
     'Customer',
     'FailureDomain',
     'Link',
     'Name',
     'Pool',
     'Priority',
-    'RequestFacts',
+    'RequestAttributes',
     'RetryClass',
     'Route',
     'RouteMatcher',
@@ -54,16 +54,16 @@
     'Server',
     'ServerState',
     'Tables',
-    'check',
     'checks',
-    'check_change',
     'find_change_faults',
     'find_faults',
+    'find_row_table',
+    'find_row_type',
     'find_shared_addresses',
     'is_table',
-    'name_table',
+    'list_tables',
     'order_routes',
+    'register_change_check',
+    'register_check',
     'register_table',
-    'row_type',
-    'table_names',
 )
--- a/crocusshunt/routing/_check_registry.py
+++ b/crocusshunt/routing/_check_registry.py
@@ -13,7 +13,7 @@
 _CHANGE_CHECKS: list[ChangeCheck] = []
 
 
-def check(function: Check) -> Check:
+def register_check(function: Check) -> Check:
     """Register a check; a decorator for functions of the tables.
 
     :param function: yields the faults it finds.
@@ -22,7 +22,7 @@
     return function
 
 
-def check_change(function: ChangeCheck) -> ChangeCheck:
+def register_change_check(function: ChangeCheck) -> ChangeCheck:
     """Register a check of a change; a decorator.
 
     :param function: takes the tables before and after, and yields faults.
--- a/crocusshunt/routing/_checks.py
+++ b/crocusshunt/routing/_checks.py
@@ -3,11 +3,14 @@
 from collections.abc import Iterable, Iterator
 
 from crocusshunt.core import Fault, parse_network
-from crocusshunt.routing._check_registry import check, find_shared_addresses
+from crocusshunt.routing._check_registry import (
+    find_shared_addresses,
+    register_check,
+)
 from crocusshunt.routing._matching import is_under, order_routes
 from crocusshunt.routing._rows import (
     Access,
-    Block,
+    AddressBlock,
     Customer,
     FailureDomain,
     Link,
@@ -24,7 +27,7 @@
     return Fault(place, f"{kind} '{name}' does not exist", allowed)
 
 
-@check
+@register_check
 def _check_pools_of_routes(tables: Tables) -> Iterator[Fault]:
     pools = {pool.name for pool in tables.select(Pool)}
     for route in tables.select(Route):
@@ -32,7 +35,7 @@
             yield _missing(f'route {route.name}', 'pool', route.pool, pools)
 
 
-@check
+@register_check
 def _check_customers_of_routes(tables: Tables) -> Iterator[Fault]:
     customers = {customer.name for customer in tables.select(Customer)}
     for route in tables.select(Route):
@@ -42,7 +45,7 @@
                 yield _missing(place, 'customer', name, customers)
 
 
-@check
+@register_check
 def _check_pools_of_servers(tables: Tables) -> Iterator[Fault]:
     pools = {pool.name for pool in tables.select(Pool)}
     for server in tables.select(Server):
@@ -50,7 +53,7 @@
             yield _missing(f'server {server.name}', 'pool', server.pool, pools)
 
 
-@check
+@register_check
 def _check_domains_of_servers(tables: Tables) -> Iterator[Fault]:
     domains = {row.name: row.region for row in tables.select(FailureDomain)}
     for server in tables.select(Server):
@@ -63,33 +66,33 @@
             yield Fault(place, 'failure domain is in another region', region)
 
 
-@check
+@register_check
 def _check_addresses(tables: Tables) -> Iterator[Fault]:
     servers = tables.select(Server)
     addresses = ((server.name, server.address) for server in servers)
     return find_shared_addresses('server', addresses)
 
 
-@check
+@register_check
 def _check_regions(tables: Tables) -> Iterator[Fault]:
     regions = {row.region for row in tables.select(FailureDomain)}
     for link in tables.select(Link):
         for name in (link.source, link.target):
             if name not in regions:
                 yield _missing(f'link {link.name}', 'region', name, regions)
-    for block in tables.select(Block):
+    for block in tables.select(AddressBlock):
         if block.region not in regions:
             place = f'block {block.name}'
             yield _missing(place, 'region', block.region, regions)
 
 
-@check
+@register_check
 def _check_prefixes(tables: Tables) -> Iterator[Fault]:
     for route in tables.select(Route):
         for prefix in route.client_prefixes:
             if parse_network(prefix).is_err():
                 yield _bad_network(f'route {route.name}', prefix)
-    for block in tables.select(Block):
+    for block in tables.select(AddressBlock):
         if parse_network(block.prefix).is_err():
             yield _bad_network(f'block {block.name}', block.prefix)
 
@@ -98,7 +101,7 @@
     return Fault(place, f"'{prefix}' is no network", 'CIDR, no host bits set')
 
 
-@check
+@register_check
 def _check_retries(tables: Tables) -> Iterator[Fault]:
     for route in tables.select(Route):
         if route.retry is RetryClass.idempotent and not route.idempotent:
@@ -109,7 +112,7 @@
             )
 
 
-@check
+@register_check
 def _check_open_routes(tables: Tables) -> Iterator[Fault]:
     for route in tables.select(Route):
         if route.access is Access.open and route.customers:
@@ -120,7 +123,7 @@
             )
 
 
-@check
+@register_check
 def _check_shadowed_routes(tables: Tables) -> Iterator[Fault]:
     routes = order_routes(tables.select(Route))
     for position, route in enumerate(routes):
--- a/crocusshunt/routing/_matching.py
+++ b/crocusshunt/routing/_matching.py
@@ -8,7 +8,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RequestFacts:
+class RequestAttributes:
     """What a request shows that routes match on.
 
     :param customer: customer of the key, empty without a valid key.
@@ -45,7 +45,7 @@
     route: Route
     networks: tuple[IPNetwork, ...]
 
-    def is_match(self, facts: RequestFacts) -> bool:
+    def is_match(self, facts: RequestAttributes) -> bool:
         route = self.route
         if not is_under(facts.path, route.path_prefix):
             return False
@@ -71,7 +71,7 @@
     >>> from ipaddress import ip_address
     >>> matcher = RouteMatcher((Route('read', 'verify', path_prefix='/v/'),))
     >>> client = ip_address('10.0.0.1')
-    >>> facts = RequestFacts('abay', '/v/1', 'GET', 'court', client)
+    >>> facts = RequestAttributes('abay', '/v/1', 'GET', 'court', client)
     >>> matcher.find(facts).name
     'read'
     """
@@ -83,7 +83,7 @@
         """
         self._routes = tuple(_prepare(route) for route in order_routes(routes))
 
-    def find(self, facts: RequestFacts) -> Route | None:
+    def find(self, facts: RequestAttributes) -> Route | None:
         """Return the matching route of highest precedence, or None."""
         for prepared in self._routes:
             if prepared.is_match(facts):
--- a/crocusshunt/routing/_registry.py
+++ b/crocusshunt/routing/_registry.py
@@ -36,7 +36,7 @@
     return table in _ROW_TYPES
 
 
-def row_type(table: str) -> type[Row]:
+def find_row_type(table: str) -> type[Row]:
     """Return the row type of a table.
 
     :param table: name of a known table.
@@ -44,7 +44,7 @@
     return _ROW_TYPES[table]
 
 
-def table_names() -> tuple[str, ...]:
+def list_tables() -> tuple[str, ...]:
     """Return the names of all tables, sorted."""
     return tuple(sorted(_ROW_TYPES))
 
@@ -57,7 +57,7 @@
     return _TABLES[row_class]
 
 
-def name_table(row: Row) -> str:
+def find_row_table(row: Row) -> str:
     """Return the name of the table that a row belongs to.
 
     :param row: a row of a registered type.
--- a/crocusshunt/routing/_rows.py
+++ b/crocusshunt/routing/_rows.py
@@ -150,7 +150,7 @@
 
 @register_table('block')
 @dataclass(frozen=True, slots=True)
-class Block:
+class AddressBlock:
     """A block of client addresses and the region nearest to it.
 
     :param prefix: network in CIDR notation.
--- a/crocusshunt/routing/_tables.py
+++ b/crocusshunt/routing/_tables.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import TypeVar, cast
 
-from crocusshunt.routing._registry import Row, find_table, name_table
+from crocusshunt.routing._registry import Row, find_row_table, find_table
 
 _RowType = TypeVar('_RowType', bound=Row)
 
@@ -28,7 +28,7 @@
         """
         changed = {table: dict(named) for table, named in self.rows.items()}
         for row in rows:
-            changed.setdefault(name_table(row), {})[row.name] = row
+            changed.setdefault(find_row_table(row), {})[row.name] = row
         return Tables(changed)
 
     def remove(self, table: str, names: Iterable[str]) -> 'Tables':
--- a/crocusshunt/routing/tests/test_checks.py
+++ b/crocusshunt/routing/tests/test_checks.py
@@ -6,12 +6,12 @@
 
 from crocusshunt.routing import (
     Access,
-    Block,
+    AddressBlock,
     Customer,
     FailureDomain,
     Link,
     Pool,
-    RequestFacts,
+    RequestAttributes,
     RetryClass,
     Route,
     RouteMatcher,
@@ -91,7 +91,7 @@
             "region 'mars' does not exist",
         ),
         (
-            Block('b', '10.0.0.0/8', 'mars'),
+            AddressBlock('b', '10.0.0.0/8', 'mars'),
             'block b',
             "region 'mars' does not exist",
         ),
@@ -143,7 +143,7 @@
             ),
         ),
     )
-    facts = RequestFacts('h', path, method, '', ip_address(client))
+    facts = RequestAttributes('h', path, method, '', ip_address(client))
     found = matcher.find(facts)
     assert found is not None
     assert found.name == expected
--- a/crocusshunt/schema/__init__.py
+++ b/crocusshunt/schema/__init__.py
@@ -9,22 +9,22 @@
 from crocusshunt.keys import Key
 from crocusshunt.operators import Operator
 from crocusshunt.routing import (
-    Block,
+    AddressBlock,
     Customer,
     FailureDomain,
     Link,
     Pool,
     Route,
     Server,
+    find_row_type,
     is_table,
-    row_type,
-    table_names,
+    list_tables,
 )
 from crocusshunt.shifts import Shift
 from crocusshunt.witnesses import Witness
 
 __all__ = (
-    'Block',
+    'AddressBlock',
     'Customer',
     'Drain',
     'FailureDomain',
@@ -34,9 +34,9 @@
     'Pool',
     'Route',
     'Server',
-    'Witness',
     'Shift',
+    'Witness',
+    'find_row_type',
     'is_table',
-    'row_type',
-    'table_names',
+    'list_tables',
 )
--- a/crocusshunt/shifts/_checks.py
+++ b/crocusshunt/shifts/_checks.py
@@ -4,11 +4,11 @@
 from itertools import combinations
 
 from crocusshunt.core import Fault
-from crocusshunt.routing import FailureDomain, Pool, Tables, check
+from crocusshunt.routing import FailureDomain, Pool, Tables, register_check
 from crocusshunt.shifts._rows import Shift, ShiftState
 
 
-@check
+@register_check
 def _check_names(tables: Tables) -> Iterator[Fault]:
     regions = {row.region for row in tables.select(FailureDomain)}
     for shift in tables.select(Shift):
@@ -24,7 +24,7 @@
             yield Fault(place, 'source and target are one region')
 
 
-@check
+@register_check
 def _check_progress(tables: Tables) -> Iterator[Fault]:
     for shift in tables.select(Shift):
         place = f'shift {shift.name}'
@@ -34,7 +34,7 @@
             yield Fault(place, 'planned, but has moved load', 'reversing')
 
 
-@check
+@register_check
 def _check_conflicts(tables: Tables) -> Iterator[Fault]:
     active = [
         shift
--- a/crocusshunt/shifts/_jumps.py
+++ b/crocusshunt/shifts/_jumps.py
@@ -3,13 +3,13 @@
 from collections.abc import Iterator
 
 from crocusshunt.core import Fault
-from crocusshunt.routing import Tables, check_change
+from crocusshunt.routing import Tables, register_change_check
 from crocusshunt.shifts._rows import Shift
 
 _TINY_SHARE = 1e-6
 
 
-@check_change
+@register_change_check
 def find_jumps(before: Tables, after: Tables) -> tuple[Fault, ...]:
     """Return the faults of a change that moves load other than in steps.
 
--- a/crocusshunt/steering/_blocks.py
+++ b/crocusshunt/steering/_blocks.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from crocusshunt.core import IPAddress, IPNetwork, parse_network
-from crocusshunt.routing import Block
+from crocusshunt.routing import AddressBlock
 from crocusshunt.steering._prefixes import PrefixMap
 
 _IPV4 = 4
@@ -41,12 +41,12 @@
     """Finds the region of a client by its longest matching block.
 
     >>> from ipaddress import ip_address
-    >>> table = BlockTable((Block('b', '10.1.0.0/16', 'addis'),))
+    >>> table = BlockTable((AddressBlock('b', '10.1.0.0/16', 'addis'),))
     >>> table.find_region(ip_address('10.1.2.3'))
     'addis'
     """
 
-    def __init__(self, blocks: Iterable[Block] = ()) -> None:
+    def __init__(self, blocks: Iterable[AddressBlock] = ()) -> None:
         """Index checked blocks."""
         self._sites: list[str] = []
         self._numbers: dict[str, int] = {}
@@ -58,7 +58,7 @@
         for block in blocks:
             self.put(block)
 
-    def put(self, block: Block) -> None:
+    def put(self, block: AddressBlock) -> None:
         """Add a block, or change its region."""
         network = parse_network(block.prefix).unwrap()
         self.put_network(network, block.region)
@@ -88,7 +88,7 @@
             self._searches[version] = self._list_searches(version)
         self._maps[place].put(_shorten(version, length, first), number)
 
-    def remove(self, block: Block) -> None:
+    def remove(self, block: AddressBlock) -> None:
         """Remove a block; an absent one is passed over."""
         network = parse_network(block.prefix).unwrap()
         prefixes = self._maps.get((network.version, network.prefixlen))
@@ -107,7 +107,9 @@
                 return self._sites[site]
         return ''
 
-    def update(self, before: Iterable[Block], after: Iterable[Block]) -> None:
+    def update(
+        self, before: Iterable[AddressBlock], after: Iterable[AddressBlock]
+    ) -> None:
         """Replace some blocks by others, leaving all the rest as it is."""
         for gone in before:
             self.remove(gone)
--- a/crocusshunt/steering/tests/test_blocks.py
+++ b/crocusshunt/steering/tests/test_blocks.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from crocusshunt.core import IPAddress, IPNetwork
-from crocusshunt.routing import Block
+from crocusshunt.routing import AddressBlock
 from crocusshunt.steering import BlockTable, PrefixMap
 
 _SITES = ('addis', 'dire', 'bahir')
@@ -46,10 +46,10 @@
     plain: dict[IPNetwork, str] = {}
     for edited, site, is_put in edits:
         if is_put:
-            table.put(Block('b', str(edited), site))
+            table.put(AddressBlock('b', str(edited), site))
             plain[edited] = site
         else:
-            table.remove(Block('b', str(edited), site))
+            table.remove(AddressBlock('b', str(edited), site))
             plain.pop(edited, None)
     clients = [
         ip_address(_IPV4_BASE + last),
--- a/crocusshunt/upstream/_connection.py
+++ b/crocusshunt/upstream/_connection.py
@@ -35,7 +35,7 @@
         self._http = _create_parser()
         self._is_kept = True
         self.idle_limit_s = _IDLE_WITHOUT_HINT_S
-        self.rested_s: float = 0
+        self.idle_s: float = 0
 
     @property
     def is_reusable(self) -> bool:
--- a/crocusshunt/upstream/_pool.py
+++ b/crocusshunt/upstream/_pool.py
@@ -7,7 +7,6 @@
 from crocusshunt.upstream._connection import Connection, open_connection
 from crocusshunt.upstream._messages import EchoPolicy
 
-
 # A forgotten connection is reset as soon as its server gets the request.
 _RESET_WITHIN_S = 0.25
 # Of the rest after which a connection was forgotten.
@@ -88,7 +87,7 @@
         if not kept or not kept[-1].is_fresh(now, longest):
             return None
         newest = kept.pop()
-        newest.connection.rested_s = now - newest.since
+        newest.connection.idle_s = now - newest.since
         return newest.connection
 
     def note_broken(self, used: Connection, after_s: float) -> bool:
@@ -96,11 +95,11 @@
 
         :param after_s: time from its sending, in seconds.
         """
-        is_forgotten = used.rested_s > 0 and after_s < _RESET_WITHIN_S
+        is_forgotten = used.idle_s > 0 and after_s < _RESET_WITHIN_S
         if not is_forgotten:
             return False
         now = self._clock.monotonic()
-        rest_s = used.rested_s * _CAREFUL_REST
+        rest_s = used.idle_s * _CAREFUL_REST
         if now < self._careful_until:
             rest_s = min(rest_s, self._careful_rest_s)
         self._careful_rest_s = rest_s
--- a/crocusshunt/upstream/tests/test_pool.py
+++ b/crocusshunt/upstream/tests/test_pool.py
@@ -62,7 +62,7 @@
     used = pool.take(*_SERVER, is_repeatable=True)
     assert used is not None
     assert not pool.note_broken(used, after_s=0.5)
-    assert not pool.note_broken(Mock(rested_s=0), after_s=0.01)
+    assert not pool.note_broken(Mock(idle_s=0), after_s=0.01)
 
 
 def test_connection_that_is_too_old_is_closed() -> None:
--- a/crocusshunt/witnesses/_rows.py
+++ b/crocusshunt/witnesses/_rows.py
@@ -11,8 +11,8 @@
     FailureDomain,
     Name,
     Tables,
-    check,
     find_shared_addresses,
+    register_check,
     register_table,
 )
 
@@ -33,14 +33,14 @@
     failure_domain: str
 
 
-@check
+@register_check
 def _check_addresses(tables: Tables) -> Iterator[Fault]:
     seats = tables.select(Witness)
     addresses = ((seat.name, seat.address) for seat in seats)
     return find_shared_addresses('witness', addresses)
 
 
-@check
+@register_check
 def _check_domains(tables: Tables) -> Iterator[Fault]:
     domains = {row.name: row.region for row in tables.select(FailureDomain)}
     for witness in tables.select(Witness):
