--- a/crocusshunt/bench/_planned.py
+++ b/crocusshunt/bench/_planned.py
@@ -7,13 +7,13 @@
 from crocusshunt.drains import (
     Drain,
     DrainBounds,
-    DrainFacts,
     DrainKind,
+    DrainObservation,
     measure_progress,
 )
 from crocusshunt.shifts import (
     Shift,
-    ShiftFacts,
+    StepInputs,
     StepSettings,
     list_commands,
     plan_step,
@@ -84,8 +84,8 @@
             # The platform's list lags by some seconds.
             listed = len(budgets)
         for one in budgets:
-            one.note_hosts(max(1, listed), now_s)
-        parts = sum(budget.measure_part(now_s) for budget in budgets)
+            one.record_host_count(max(1, listed), now_s)
+        parts = sum(budget.compute_share(now_s) for budget in budgets)
         excess = max(excess, parts - _LINK_MBITS)
     return round(max(0, excess), 6)
 
@@ -97,8 +97,8 @@
     now_s = 0
     while True:
         running = sum(end > now_s for end in ends)
-        facts = DrainFacts(now_s, running, age_s=0)
-        if measure_progress(drain, facts, bounds).is_safe:
+        observation = DrainObservation(now_s, running, age_s=0)
+        if measure_progress(drain, observation, bounds).is_safe:
             return DrainOutcome(now_s, running)
         now_s += 1
 
@@ -119,18 +119,18 @@
         if source.random() < _READING_CHANCE
     }
     links = {('addis', 'dire'): LinkLoad(source.uniform(0, 400))}
-    facts = ShiftFacts(
+    inputs = StepInputs(
         Readings(pools, links),
         _LINK_MBITS,
         since_step_s=source.uniform(0, 120),
     )
-    return plan_step(shift, facts, StepSettings()).unwrap_or(shift)
+    return plan_step(shift, inputs, StepSettings()).unwrap_or(shift)
 
 
 def _list_ends(bounds: DrainBounds, source: Random) -> Iterator[float]:
     """Yield when each request on the drained host ends, in seconds."""
     for _ in range(_CALLERS):
-        learned_s = source.uniform(0, bounds.spread_s)
+        learned_s = source.uniform(0, bounds.propagation_s)
         uses_host = source.random() < _HOST_SHARE
         now_s = -source.uniform(0, bounds.lifetime_s)
         expires_s = now_s + bounds.lifetime_s
--- a/crocusshunt/bench/_regions.py
+++ b/crocusshunt/bench/_regions.py
@@ -7,10 +7,10 @@
 
 from crocusshunt.routing import Link, Priority
 from crocusshunt.steering import (
-    BalanceFacts,
+    BalanceInputs,
     BalanceSettings,
     LinkLoad,
-    Plan,
+    LoadPlan,
     PoolLoad,
     Readings,
     advance_plan,
@@ -56,19 +56,19 @@
 class DampedPolicy:
     """The plan of the steering package, applied by all gateways."""
 
-    plan: Plan = field(default_factory=Plan)
+    plan: LoadPlan = field(default_factory=LoadPlan)
     changed_s: float = float('-inf')
 
     def __call__(self, readings: Readings, now_s: float) -> Shares:
         """Return the share of each region's load for each region."""
-        facts = BalanceFacts(
+        inputs = BalanceInputs(
             'verify',
             REGIONS,
             readings,
             _LINKS,
             since_step_s=now_s - self.changed_s,
         )
-        planned = advance_plan(self.plan, facts, BalanceSettings())
+        planned = advance_plan(self.plan, inputs, BalanceSettings())
         if planned.flows != self.plan.flows:
             self.changed_s = now_s
         self.plan = planned
--- a/crocusshunt/bench/steering.py
+++ b/crocusshunt/bench/steering.py
@@ -20,7 +20,7 @@
     split_in_proportion,
 )
 from crocusshunt.drains import DrainBounds
-from crocusshunt.steering import BlockTable, Caller, Directory
+from crocusshunt.steering import BlockTable, Caller, EntryHostRanker
 from crocusshunt.store import HostEntry
 
 _SEED = 1
@@ -105,9 +105,9 @@
 
 
 def _measure_drain() -> Iterator[Measurement]:
-    bounds = DrainBounds(spread_s=15, lifetime_s=5, deadline_s=30)
+    bounds = DrainBounds(propagation_s=15, lifetime_s=5, deadline_s=30)
     outcomes = [drain_host(bounds, seed) for seed in range(_DRAINS)]
-    longest_s = bounds.spread_s + bounds.lifetime_s + bounds.deadline_s
+    longest_s = bounds.propagation_s + bounds.lifetime_s + bounds.deadline_s
     yield Measurement(
         'steer.drain_seconds',
         max(outcome.safe_s for outcome in outcomes),
@@ -139,7 +139,7 @@
         for _ in range(_BLOCKS - table.count()):
             length = source.choice(_LENGTHS)
             first = source.getrandbits(length) << (_BITS - length)
-            table.put_address((_IPV4, length), first, source.choice(sites))
+            table.put_prefix((_IPV4, length), first, source.choice(sites))
     return table
 
 
@@ -159,7 +159,7 @@
 
     def update() -> None:
         for first in places:
-            table.put_address((_IPV4, 24), first, 'site-001')
+            table.put_prefix((_IPV4, 24), first, 'site-001')
 
     yield Measurement(
         'steer.update',
@@ -174,14 +174,14 @@
     clients = [IPv4Address(source.getrandbits(_BITS)) for _ in range(_LOOKUPS)]
     hosts = _create_hosts()
     started = process_time()
-    directory = Directory(hosts, {})
+    ranker = EntryHostRanker(hosts, {})
     yield Measurement(
         'steer.directory',
         round((process_time() - started) * _MILLISECONDS, 1),
         'ms of CPU for the first index of 1,800 hosts',
     )
     started = process_time()
-    directory = Directory(hosts[1:], {})
+    ranker = EntryHostRanker(hosts[1:], {})
     yield Measurement(
         'steer.directory_change',
         round((process_time() - started) * _MILLISECONDS, 1),
@@ -192,7 +192,7 @@
         for client in clients:
             site = table.find_region(client)
             region = f'region-{hash(site) % _REGIONS:02d}'
-            directory.rank(Caller(str(client), region), _LISTED_HOSTS)
+            ranker.rank(Caller(str(client), region), _LISTED_HOSTS)
 
     spent_s = _time(look_up)
     yield Measurement(
--- a/crocusshunt/controller/_shifts.py
+++ b/crocusshunt/controller/_shifts.py
@@ -20,8 +20,8 @@
 from crocusshunt.routing import Link, Tables
 from crocusshunt.shifts import (
     Shift,
-    ShiftFacts,
     ShiftState,
+    StepInputs,
     StepSettings,
     plan_step,
 )
@@ -118,12 +118,12 @@
         held: Configuration,
     ) -> Result[Change, CrocusError]:
         seen_s = self._seen_s[shift.name, shift.step]
-        facts = ShiftFacts(
+        inputs = StepInputs(
             self.sources.readings(),
             _find_limit(held.tables, shift),
             self.clock.monotonic() - seen_s,
         )
-        planned = plan_step(shift, facts, self.settings)
+        planned = plan_step(shift, inputs, self.settings)
         if isinstance(planned, Err):
             return planned
         request = _create_request(planned.ok_value, held)
--- a/crocusshunt/drains/__init__.py
+++ b/crocusshunt/drains/__init__.py
@@ -1,7 +1,7 @@
 """Drains of servers, pools, hosts, failure domains and regions."""
 
 from crocusshunt.drains import _checks  # noqa: F401
-from crocusshunt.drains._places import DrainedPlaces
+from crocusshunt.drains._places import DrainIndex
 from crocusshunt.drains._preview import (
     NoRoomError,
     PoolMove,
@@ -10,7 +10,7 @@
 )
 from crocusshunt.drains._progress import (
     DrainBounds,
-    DrainFacts,
+    DrainObservation,
     DrainProgress,
     DrainStage,
     find_bounds,
@@ -22,11 +22,11 @@
 __all__ = (
     'Drain',
     'DrainBounds',
-    'DrainFacts',
+    'DrainIndex',
     'DrainKind',
+    'DrainObservation',
     'DrainProgress',
     'DrainStage',
-    'DrainedPlaces',
     'NoRoomError',
     'PoolMove',
     'check_room',
--- a/crocusshunt/drains/_checks.py
+++ b/crocusshunt/drains/_checks.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator, Mapping
 
 from crocusshunt.core import Fault
-from crocusshunt.drains._places import DrainedPlaces
+from crocusshunt.drains._places import DrainIndex
 from crocusshunt.drains._rows import Drain, DrainKind
 from crocusshunt.routing import FailureDomain, Pool, Server, Tables, check
 from crocusshunt.shifts import Shift, ShiftState
@@ -32,16 +32,18 @@
 def _check_last_servers(tables: Tables) -> Iterator[Fault]:
     """Find the drains that together leave a pool without servers."""
     drains = tables.select(Drain)
-    places = DrainedPlaces(drains)
+    places = DrainIndex(drains)
     refusing = [drain for drain in drains if not drain.override]
     for pool in tables.select(Pool):
         servers = [
             row for row in tables.select(Server) if row.pool == pool.name
         ]
-        if servers and all(places.has_server(server) for server in servers):
+        if servers and all(
+            places.is_server_draining(server) for server in servers
+        ):
             for drain in refusing:
-                alone = DrainedPlaces((drain,))
-                if any(alone.has_server(server) for server in servers):
+                alone = DrainIndex((drain,))
+                if any(alone.is_server_draining(server) for server in servers):
                     yield Fault(
                         f'drain {drain.name}',
                         f"leaves pool '{pool.name}' without servers",
--- a/crocusshunt/drains/_places.py
+++ b/crocusshunt/drains/_places.py
@@ -7,12 +7,12 @@
 from crocusshunt.store import HostEntry
 
 
-class DrainedPlaces:
+class DrainIndex:
     """Tells whether servers and hosts are to be emptied.
 
-    >>> places = DrainedPlaces((Drain('d', DrainKind.region, 'dire'),))
+    >>> places = DrainIndex((Drain('d', DrainKind.region, 'dire'),))
     >>> host = HostEntry('h1', 'dire', 'dire-a', 'http://h1', '')
-    >>> places.has_host(host)
+    >>> places.is_host_draining(host)
     True
     """
 
@@ -23,7 +23,7 @@
             targets[drain.kind].add(drain.target)
         self._targets: Mapping[DrainKind, Collection[str]] = targets
 
-    def has_server(self, server: Server) -> bool:
+    def is_server_draining(self, server: Server) -> bool:
         """Tell whether a backend server gets no new work."""
         if server.state is ServerState.draining:
             return True
@@ -37,7 +37,7 @@
             )
         )
 
-    def has_host(self, host: HostEntry) -> bool:
+    def is_host_draining(self, host: HostEntry) -> bool:
         """Tell whether look-ups leave a host out."""
         return any(
             name in self._targets[kind]
--- a/crocusshunt/drains/_preview.py
+++ b/crocusshunt/drains/_preview.py
@@ -5,7 +5,7 @@
 from result import Err, Ok, Result
 
 from crocusshunt.core import CrocusError
-from crocusshunt.drains._places import DrainedPlaces
+from crocusshunt.drains._places import DrainIndex
 from crocusshunt.drains._rows import Drain
 from crocusshunt.routing import Pool, Server, Tables
 from crocusshunt.steering import PoolLoad, Readings, check_reading
@@ -61,8 +61,8 @@
     :param readings: the newest measurements, possibly none.
     """
     others = [row for row in tables.select(Drain) if row.name != drain.name]
-    before = _list_slots(tables, DrainedPlaces(others))
-    after = _list_slots(tables, DrainedPlaces((*others, drain)))
+    before = _list_slots(tables, DrainIndex(others))
+    after = _list_slots(tables, DrainIndex((*others, drain)))
     moves = []
     for pool in tables.select(Pool):
         held = before.get(pool.name, {})
@@ -103,12 +103,12 @@
 
 def _list_slots(
     tables: Tables,
-    places: DrainedPlaces,
+    places: DrainIndex,
 ) -> dict[str, dict[str, int]]:
     """Return the slots that take work, by pool and region."""
     slots: dict[str, dict[str, int]] = {}
     for server in tables.select(Server):
-        if server.weight and not places.has_server(server):
+        if server.weight and not places.is_server_draining(server):
             regions = slots.setdefault(server.pool, {})
             regions[server.region] = (
                 regions.get(server.region, 0) + server.slots
--- a/crocusshunt/drains/_progress.py
+++ b/crocusshunt/drains/_progress.py
@@ -23,18 +23,18 @@
 class DrainBounds:
     """Longest times of the stages, in seconds.
 
-    :param spread_s: until a change is in force everywhere.
+    :param propagation_s: until a change is in force everywhere.
     :param lifetime_s: for which callers keep an answer of the locator.
     :param deadline_s: for which a request may run.
     """
 
-    spread_s: float
+    propagation_s: float
     lifetime_s: float
     deadline_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class DrainFacts:
+class DrainObservation:
     """What was seen of a drain.
 
     :param elapsed_s: time since the change was accepted, in seconds.
@@ -66,23 +66,23 @@
 
 def find_bounds(
     tables: Tables,
-    spread_s: float,
+    propagation_s: float,
     lifetime_s: float,
 ) -> DrainBounds:
     """Return the bounds that follow from the configuration.
 
-    :param spread_s: until a change is in force everywhere, in seconds.
+    :param propagation_s: until a change is in force everywhere, in seconds.
     :param lifetime_s: of the locator's answers, in seconds.
     """
     longest_ms = max(
         (row.deadline_ms for row in tables.select(Route)), default=0
     )
-    return DrainBounds(spread_s, lifetime_s, longest_ms / _MILLISECONDS)
+    return DrainBounds(propagation_s, lifetime_s, longest_ms / _MILLISECONDS)
 
 
 def measure_progress(
     drain: Drain,
-    facts: DrainFacts,
+    facts: DrainObservation,
     bounds: DrainBounds,
 ) -> DrainProgress:
     """Return how far a drain is.
@@ -93,13 +93,15 @@
     the longest deadline has to pass.
 
     >>> drain = Drain('d', DrainKind.server, 's1')
-    >>> bounds = DrainBounds(spread_s=15, lifetime_s=5, deadline_s=30)
-    >>> measure_progress(drain, DrainFacts(16, running=2), bounds).stage.name
+    >>> bounds = DrainBounds(propagation_s=15, lifetime_s=5, deadline_s=30)
+    >>> running = DrainObservation(16, running=2)
+    >>> measure_progress(drain, running, bounds).stage.name
     'finishing'
-    >>> measure_progress(drain, DrainFacts(16, running=0), bounds).is_safe
+    >>> ended = DrainObservation(16, running=0)
+    >>> measure_progress(drain, ended, bounds).is_safe
     True
     """
-    last_start_s = bounds.spread_s
+    last_start_s = bounds.propagation_s
     if has_hosts(drain):
         last_start_s += bounds.lifetime_s
     remaining_s = max(0, last_start_s + bounds.deadline_s - facts.elapsed_s)
@@ -115,12 +117,12 @@
 
 
 def _find_stage(
-    facts: DrainFacts,
+    facts: DrainObservation,
     bounds: DrainBounds,
     last_start_s: float,
     remaining_s: float,
 ) -> DrainStage:
-    if facts.elapsed_s < bounds.spread_s:
+    if facts.elapsed_s < bounds.propagation_s:
         return DrainStage.spreading
     if facts.elapsed_s < last_start_s:
         return DrainStage.cached
--- a/crocusshunt/drains/tests/test_drains.py
+++ b/crocusshunt/drains/tests/test_drains.py
@@ -7,9 +7,9 @@
 from crocusshunt.drains import (
     Drain,
     DrainBounds,
-    DrainedPlaces,
-    DrainFacts,
+    DrainIndex,
     DrainKind,
+    DrainObservation,
     check_room,
     measure_progress,
     preview_drain,
@@ -18,7 +18,7 @@
 from crocusshunt.shifts import Shift, ShiftState
 from crocusshunt.steering import PoolLoad, Readings
 
-_BOUNDS = DrainBounds(spread_s=15, lifetime_s=5, deadline_s=30)
+_BOUNDS = DrainBounds(propagation_s=15, lifetime_s=5, deadline_s=30)
 _TABLES = Tables().put(
     Pool('verify'),
     FailureDomain('a-1', 'addis'),
@@ -63,11 +63,11 @@
     drained: str,
 ) -> None:
     """Each kind of drain takes the servers under it off."""
-    places = DrainedPlaces((Drain('d', kind, target),))
+    places = DrainIndex((Drain('d', kind, target),))
     names = [
         server.name
         for server in _TABLES.select(Server)
-        if places.has_server(server)
+        if places.is_server_draining(server)
     ]
     assert ' '.join(names) == drained
 
@@ -119,22 +119,24 @@
 @pytest.mark.parametrize(
     ('drain', 'facts', 'stage'),
     [
-        (_SERVER, DrainFacts(14, 0), 'spreading'),
-        (_SERVER, DrainFacts(16, 1), 'finishing'),
-        (_SERVER, DrainFacts(16, 0), 'safe'),
-        (_HOST, DrainFacts(16, 0), 'cached'),
-        (_HOST, DrainFacts(21, 0), 'safe'),
+        (_SERVER, DrainObservation(14, 0), 'spreading'),
+        (_SERVER, DrainObservation(16, 1), 'finishing'),
+        (_SERVER, DrainObservation(16, 0), 'safe'),
+        (_HOST, DrainObservation(16, 0), 'cached'),
+        (_HOST, DrainObservation(21, 0), 'safe'),
         # Counted before the last request could have begun.
-        (_HOST, DrainFacts(22, 0, age_s=3), 'finishing'),
-        (_HOST, DrainFacts(30, 0, age_s=6), 'finishing'),
+        (_HOST, DrainObservation(22, 0, age_s=3), 'finishing'),
+        (_HOST, DrainObservation(30, 0, age_s=6), 'finishing'),
         # Counts that stop arriving: the longest deadline decides.
-        (_HOST, DrainFacts(49), 'finishing'),
-        (_HOST, DrainFacts(50), 'safe'),
+        (_HOST, DrainObservation(49), 'finishing'),
+        (_HOST, DrainObservation(50), 'safe'),
         # A request that runs past its deadline keeps the drain open.
-        (_HOST, DrainFacts(51, 1), 'finishing'),
+        (_HOST, DrainObservation(51, 1), 'finishing'),
     ],
 )
-def test_end_of_a_drain(drain: Drain, facts: DrainFacts, stage: str) -> None:
+def test_end_of_a_drain(
+    drain: Drain, facts: DrainObservation, stage: str
+) -> None:
     """It is safe to switch off only once no request can be running."""
     progress = measure_progress(drain, facts, _BOUNDS)
     assert progress.stage.name == stage
--- a/crocusshunt/gateway/_admission.py
+++ b/crocusshunt/gateway/_admission.py
@@ -8,7 +8,7 @@
 from crocusshunt.configuration import Configuration
 from crocusshunt.core import IPAddress
 from crocusshunt.delivery import NotRun
-from crocusshunt.drains import Drain, DrainedPlaces
+from crocusshunt.drains import Drain, DrainIndex
 from crocusshunt.keys import Key, Keyring, MissingKeyError
 from crocusshunt.replication import Feed
 from crocusshunt.routing import (
@@ -137,9 +137,9 @@
         self._keyring = Keyring(tables.select(Key))
         self._matcher = RouteMatcher(tables.select(Route))
         servers: dict[str, tuple[Server, ...]] = {}
-        drained = DrainedPlaces(tables.select(Drain))
+        drained = DrainIndex(tables.select(Drain))
         for server in tables.select(Server):
-            if not drained.has_server(server):
+            if not drained.is_server_draining(server):
                 held = servers.get(server.pool, ())
                 servers[server.pool] = (*held, server)
         self._servers = servers
--- a/crocusshunt/gateway/_shares.py
+++ b/crocusshunt/gateway/_shares.py
@@ -5,7 +5,7 @@
 
 from crocusshunt.configuration import Configuration
 from crocusshunt.routing import Pool
-from crocusshunt.shifts import RegionShare, find_shares
+from crocusshunt.shifts import RegionShare, find_region_shares
 
 
 class RegionSplit:
@@ -35,7 +35,7 @@
         """Take the shares of a configuration that came into force."""
         tables = configuration.tables
         found = {
-            pool.name: find_shares(tables, pool.name, self._region)
+            pool.name: find_region_shares(tables, pool.name, self._region)
             for pool in tables.select(Pool)
         }
         self.replace({pool: one for pool, one in found.items() if one})
--- a/crocusshunt/locator/_lookups.py
+++ b/crocusshunt/locator/_lookups.py
@@ -9,10 +9,15 @@
 
 from crocusshunt.configuration import Configuration
 from crocusshunt.core import CrocusError, IPAddress
-from crocusshunt.drains import Drain, DrainedPlaces
+from crocusshunt.drains import Drain, DrainIndex
 from crocusshunt.membership import HostTable
 from crocusshunt.routing import Block, Customer, Link, Route, Server, Tables
-from crocusshunt.steering import BlockTable, Caller, Directory, measure_delays
+from crocusshunt.steering import (
+    BlockTable,
+    Caller,
+    EntryHostRanker,
+    measure_delays,
+)
 
 _LISTED_HOSTS = 4
 _DIGEST_BYTES = 8
@@ -93,7 +98,7 @@
         self._tables = Tables()
         self._revision = 0
         self._blocks = BlockTable()
-        self._directory = Directory((), {})
+        self._directory = EntryHostRanker((), {})
         self._hosts_version = 0
         self._pool_regions: dict[str, frozenset[str]] = {}
 
@@ -156,21 +161,23 @@
         self._hosts_version = self._hosts.version
         delays_ms = measure_delays(self._tables.select(Link))
         suspects = self._hosts.suspects
-        places = DrainedPlaces(self._tables.select(Drain))
+        places = DrainIndex(self._tables.select(Drain))
         hosts = [
-            host for host in self._hosts.hosts if not places.has_host(host)
+            host
+            for host in self._hosts.hosts
+            if not places.is_host_draining(host)
         ]
-        self._directory = Directory(hosts, delays_ms, suspects)
+        self._directory = EntryHostRanker(hosts, delays_ms, suspects)
         self._pool_regions = _find_regions(self._tables)
 
 
 def _find_regions(tables: Tables) -> dict[str, frozenset[str]]:
     """Return the regions in which each pool has servers that take work."""
-    places = DrainedPlaces(tables.select(Drain))
+    places = DrainIndex(tables.select(Drain))
     pairs = Counter(
         (server.pool, server.region)
         for server in tables.select(Server)
-        if server.weight and not places.has_server(server)
+        if server.weight and not places.is_server_draining(server)
     )
     return {
         pool: frozenset(region for other, region in pairs if other == pool)
--- a/crocusshunt/plans/_capacity.py
+++ b/crocusshunt/plans/_capacity.py
@@ -3,7 +3,7 @@
 from collections import Counter
 from collections.abc import Iterator
 
-from crocusshunt.drains import Drain, DrainedPlaces
+from crocusshunt.drains import Drain, DrainIndex
 from crocusshunt.plans._registry import Consequence, pair_rows, rule, warn
 from crocusshunt.routing import Route, Server, ServerState, Tables
 
@@ -79,7 +79,7 @@
 
 
 def _list_slots(tables: Tables) -> Iterator[tuple[Server, int]]:
-    drained = DrainedPlaces(tables.select(Drain))
+    drained = DrainIndex(tables.select(Drain))
     for server in tables.select(Server):
-        is_serving = server.weight and not drained.has_server(server)
+        is_serving = server.weight and not drained.is_server_draining(server)
         yield server, server.slots if is_serving else 0
--- a/crocusshunt/shifts/__init__.py
+++ b/crocusshunt/shifts/__init__.py
@@ -15,13 +15,13 @@
 from crocusshunt.shifts._preview import (
     RegionShare,
     ShiftPreview,
-    find_shares,
+    find_region_shares,
     preview_shift,
 )
 from crocusshunt.shifts._rows import Shift, ShiftState
 from crocusshunt.shifts._steps import (
     HeldStepError,
-    ShiftFacts,
+    StepInputs,
     StepSettings,
     plan_step,
 )
@@ -31,13 +31,13 @@
     'RegionShare',
     'Shift',
     'ShiftCommand',
-    'ShiftFacts',
     'ShiftPreview',
     'ShiftState',
     'ShiftStateError',
+    'StepInputs',
     'StepSettings',
     'find_jumps',
-    'find_shares',
+    'find_region_shares',
     'finish_shift',
     'list_commands',
     'pause_shift',
--- a/crocusshunt/shifts/_preview.py
+++ b/crocusshunt/shifts/_preview.py
@@ -59,7 +59,7 @@
     )
 
 
-def find_shares(
+def find_region_shares(
     tables: Tables,
     pool: str,
     region: str,
--- a/crocusshunt/shifts/_steps.py
+++ b/crocusshunt/shifts/_steps.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ShiftFacts:
+class StepInputs:
     """What a step is decided from.
 
     :param readings: the newest measurements.
@@ -59,7 +59,7 @@
 
 def plan_step(
     shift: Shift,
-    facts: ShiftFacts,
+    facts: StepInputs,
     settings: StepSettings,
 ) -> Result[Shift, HeldStepError]:
     """Return the row after the next step, or why there is none now.
@@ -106,7 +106,7 @@
 def _find_obstacle(
     shift: Shift,
     moved: float,
-    facts: ShiftFacts,
+    facts: StepInputs,
     settings: StepSettings,
 ) -> Obstacle | None:
     receiver = shift.target if moved > shift.moved else shift.source
@@ -144,7 +144,7 @@
 def _judge_link(
     shift: Shift,
     added_mbits: float,
-    facts: ShiftFacts,
+    facts: StepInputs,
     settings: StepSettings,
 ) -> Obstacle | None:
     link = facts.readings.links.get((shift.source, shift.target))
--- a/crocusshunt/shifts/tests/test_shifts.py
+++ b/crocusshunt/shifts/tests/test_shifts.py
@@ -12,12 +12,12 @@
     HeldStepError,
     RegionShare,
     Shift,
-    ShiftFacts,
     ShiftState,
     ShiftStateError,
+    StepInputs,
     StepSettings,
     find_jumps,
-    find_shares,
+    find_region_shares,
     list_commands,
     plan_step,
 )
@@ -40,14 +40,14 @@
     source: PoolLoad | None = _SOURCE,
     target: PoolLoad | None = _TARGET,
     link: LinkLoad | None = _LINK,
-) -> ShiftFacts:
+) -> StepInputs:
     pools = {('verify', 'addis'): source, ('verify', 'dire'): target}
     known = {place: load for place, load in pools.items() if load is not None}
     links = {} if link is None else {('addis', 'dire'): link}
-    return ShiftFacts(Readings(known, links), 280, since_step_s=60)
+    return StepInputs(Readings(known, links), 280, since_step_s=60)
 
 
-def _explain(facts: ShiftFacts, shift: Shift = _SHIFT) -> str:
+def _explain(facts: StepInputs, shift: Shift = _SHIFT) -> str:
     return plan_step(shift, facts, StepSettings()).unwrap_err().reason
 
 
@@ -72,7 +72,7 @@
         (_facts(link=LinkLoad(220)), Obstacle.link_full),
     ],
 )
-def test_obstacles_hold_a_step(facts: ShiftFacts, obstacle: Obstacle) -> None:
+def test_obstacles_hold_a_step(facts: StepInputs, obstacle: Obstacle) -> None:
     """Each safety check holds the step and says why."""
     assert _explain(facts) == obstacle.value
 
@@ -160,10 +160,10 @@
 def test_shares_are_those_of_the_gateways_region() -> None:
     """A gateway moves what shifts say of its own region and pool."""
     tables = Tables().put(replace(_SHIFT, moved=0.2))
-    shares = find_shares(tables, 'verify', 'addis')
+    shares = find_region_shares(tables, 'verify', 'addis')
     assert shares == (RegionShare('dire', 0.2),)
-    assert not find_shares(tables, 'verify', 'dire')
-    assert not find_shares(tables, 'renew', 'addis')
+    assert not find_region_shares(tables, 'verify', 'dire')
+    assert not find_region_shares(tables, 'renew', 'addis')
 
 
 @pytest.mark.parametrize(
--- a/crocusshunt/steering/__init__.py
+++ b/crocusshunt/steering/__init__.py
@@ -1,14 +1,14 @@
 """Look-ups of entry hosts, and load between regions."""
 
 from crocusshunt.steering._balance import (
-    BalanceFacts,
+    BalanceInputs,
     BalanceSettings,
     advance_plan,
 )
 from crocusshunt.steering._blocks import BlockTable
 from crocusshunt.steering._links import LinkBudget
-from crocusshunt.steering._lookup import Caller, Directory, measure_delays
-from crocusshunt.steering._plans import FlowKey, Plan
+from crocusshunt.steering._lookup import Caller, EntryHostRanker, measure_delays
+from crocusshunt.steering._plans import FlowKey, LoadPlan
 from crocusshunt.steering._prefixes import PrefixMap
 from crocusshunt.steering._readings import (
     LinkLoad,
@@ -19,16 +19,16 @@
 )
 
 __all__ = (
-    'BalanceFacts',
+    'BalanceInputs',
     'BalanceSettings',
     'BlockTable',
     'Caller',
-    'Directory',
+    'EntryHostRanker',
     'FlowKey',
     'LinkBudget',
     'LinkLoad',
+    'LoadPlan',
     'Obstacle',
-    'Plan',
     'PoolLoad',
     'PrefixMap',
     'Readings',
--- a/crocusshunt/steering/_balance.py
+++ b/crocusshunt/steering/_balance.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from crocusshunt.routing import Link, Priority
-from crocusshunt.steering._plans import FlowKey, Plan
+from crocusshunt.steering._plans import FlowKey, LoadPlan
 from crocusshunt.steering._readings import PoolLoad, Readings, check_reading
 
 _TINY_SLOTS = 1e-9
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BalanceFacts:
+class BalanceInputs:
     """What a plan is made from.
 
     :param regions: all regions with servers of the pool.
@@ -68,10 +68,10 @@
 
 
 def advance_plan(
-    before: Plan,
-    facts: BalanceFacts,
+    before: LoadPlan,
+    facts: BalanceInputs,
     settings: BalanceSettings,
-) -> Plan:
+) -> LoadPlan:
     """Return the plan for the next step.
 
     Urgent load is placed first, each priority in its own region before any
@@ -91,8 +91,8 @@
 class _Planner:
     def __init__(
         self,
-        before: Plan,
-        facts: BalanceFacts,
+        before: LoadPlan,
+        facts: BalanceInputs,
         settings: BalanceSettings,
     ) -> None:
         self._before = before
@@ -107,7 +107,7 @@
         self._room = _Room()
         self._flows: dict[FlowKey, float] = {}
 
-    def plan(self) -> Plan:
+    def plan(self) -> LoadPlan:
         demand: dict[tuple[Priority, str], float] = {}
         for name, load in self._loads.items():
             self._measure_room(name, load)
@@ -125,9 +125,9 @@
         ]
         for priority, left in waiting:
             self._place_overflow(priority, left)
-        return Plan(self._flows, demand)
+        return LoadPlan(self._flows, demand)
 
-    def is_settled(self, planned: Plan) -> bool:
+    def is_settled(self, planned: LoadPlan) -> bool:
         """Tell whether the plan in force is near enough and within caps."""
         held = self._before.flows
         if set(self._before.demand) != set(planned.demand):
--- a/crocusshunt/steering/_blocks.py
+++ b/crocusshunt/steering/_blocks.py
@@ -66,9 +66,9 @@
     def put_network(self, network: IPNetwork, site: str) -> None:
         """Add a network, or change its site."""
         place = (network.version, network.prefixlen)
-        self.put_address(place, int(network.network_address), site)
+        self.put_prefix(place, int(network.network_address), site)
 
-    def put_address(
+    def put_prefix(
         self,
         place: tuple[int, int],
         first: int,
--- a/crocusshunt/steering/_links.py
+++ b/crocusshunt/steering/_links.py
@@ -14,7 +14,7 @@
     lags, lost hosts included, and a host that starts waits for one window.
 
     >>> budget = LinkBudget(limit_mbits=100, now_s=0)
-    >>> budget.note_hosts(2, now_s=0)
+    >>> budget.record_host_count(2, now_s=0)
     >>> budget.can_send(1, now_s=59), budget.can_send(1, now_s=61)
     (False, True)
     """
@@ -30,7 +30,7 @@
         self._saved_mbit: float = 0
         self._counts: deque[tuple[float, int]] = deque()
 
-    def note_hosts(self, hosts: int, now_s: float) -> None:
+    def record_host_count(self, hosts: int, now_s: float) -> None:
         """Keep how many hosts of the region the platform lists."""
         self._refill(now_s)
         while self._counts and now_s - self._counts[0][0] > _WINDOW_S:
@@ -40,7 +40,7 @@
             self._counts.pop()
         self._counts.append((now_s, hosts))
 
-    def measure_part(self, now_s: float) -> float:
+    def compute_share(self, now_s: float) -> float:
         """Return this gateway's part, in Mbit/s."""
         if not self._counts or now_s - self._started_s < _WINDOW_S:
             return 0
@@ -60,7 +60,7 @@
         self._saved_mbit -= mbit
 
     def _refill(self, now_s: float) -> None:
-        part = self.measure_part(now_s)
+        part = self.compute_share(now_s)
         earned = (now_s - self._refilled_s) * part
         # At most one second's worth is saved, so that bursts stay short.
         self._saved_mbit = min(part, self._saved_mbit + earned)
--- a/crocusshunt/steering/_lookup.py
+++ b/crocusshunt/steering/_lookup.py
@@ -59,11 +59,11 @@
         return _take_distinct(turned, count)
 
 
-class Directory:
+class EntryHostRanker:
     """Orders the usable hosts for callers.
 
     >>> host = HostEntry('h1', 'addis', 'addis-a', 'http://h1', '')
-    >>> directory = Directory((host,), {})
+    >>> directory = EntryHostRanker((host,), {})
     >>> [host.name for host in directory.rank(Caller('10.0.0.1', 'addis'), 4)]
     ['h1']
     """
--- a/crocusshunt/steering/_plans.py
+++ b/crocusshunt/steering/_plans.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class LoadPlan:
     """Load of one pool by priority, source region and target region.
 
     :param flows: load in slots.
@@ -56,7 +56,7 @@
         :param point: the request's place, 0 to 1, such as a hash of its id.
 
         >>> flows = {(Priority.normal, 'addis', 'dire'): 1.0}
-        >>> plan = Plan(flows, {(Priority.normal, 'addis'): 2.0})
+        >>> plan = LoadPlan(flows, {(Priority.normal, 'addis'): 2.0})
         >>> plan.choose_region(Priority.normal, 'addis', 0.3)
         'dire'
         >>> plan.choose_region(Priority.normal, 'addis', 0.7) is None
--- a/crocusshunt/steering/tests/test_balance.py
+++ b/crocusshunt/steering/tests/test_balance.py
@@ -10,11 +10,11 @@
 
 from crocusshunt.routing import Link, Priority
 from crocusshunt.steering import (
-    BalanceFacts,
+    BalanceInputs,
     BalanceSettings,
     LinkBudget,
     LinkLoad,
-    Plan,
+    LoadPlan,
     PoolLoad,
     Readings,
     advance_plan,
@@ -47,23 +47,23 @@
     loads: Mapping[str, PoolLoad],
     link: LinkLoad | None = None,
     lost: str = '',
-) -> BalanceFacts:
+) -> BalanceInputs:
     pools = {('tarifa', region): load for region, load in loads.items()}
     traffic = link or LinkLoad(0)
     links = {(row.source, row.target): traffic for row in _LINKS}
     gone = frozenset((lost,)) - {''}
-    return BalanceFacts(
+    return BalanceInputs(
         'tarifa', _REGIONS, Readings(pools, links), _LINKS, gone
     )
 
 
-def _settle(plan: Plan, facts: BalanceFacts, steps: int = 30) -> Plan:
+def _settle(plan: LoadPlan, facts: BalanceInputs, steps: int = 30) -> LoadPlan:
     for _ in range(steps):
         plan = advance_plan(plan, facts, _SETTINGS)
     return plan
 
 
-def _serve(plan: Plan, priority: Priority) -> float:
+def _serve(plan: LoadPlan, priority: Priority) -> float:
     return sum(slots for key, slots in plan.flows.items() if key[0] is priority)
 
 
@@ -99,7 +99,7 @@
     scenes: list[tuple[dict[str, PoolLoad], str, LinkLoad]],
 ) -> None:
     """Whatever is measured, caps hold and unseen regions take no more."""
-    plan = Plan()
+    plan = LoadPlan()
     for loads, lost, link in scenes:
         before = plan
         plan = advance_plan(before, _facts(loads, link, lost), _SETTINGS)
@@ -119,7 +119,7 @@
 
 def test_local_first() -> None:
     """Nothing crosses a link while each region has room."""
-    plan = _settle(Plan(), _facts({name: _load(15) for name in _REGIONS}))
+    plan = _settle(LoadPlan(), _facts({name: _load(15) for name in _REGIONS}))
     assert not any(plan.measure_inflow(name) for name in _REGIONS)
 
 
@@ -128,7 +128,7 @@
     facts = _facts(
         {'zagreb': _load(30), 'split': _load(8), 'osijek': _load(14)}
     )
-    plan, inflows = Plan(), []
+    plan, inflows = LoadPlan(), []
     for _ in range(8):
         plan = advance_plan(plan, facts, _SETTINGS)
         inflows.append(plan.measure_inflow('split'))
@@ -140,7 +140,7 @@
 def test_region_loss_keeps_urgent_routes() -> None:
     """All callers arrive at once: urgent load is served, the rest refused."""
     calm = _facts({name: _load(14) for name in _REGIONS})
-    plan = _settle(Plan(), calm)
+    plan = _settle(LoadPlan(), calm)
     loads = {'split': _load(42), 'osijek': _load(8)}
     facts = _facts(loads, lost='zagreb')
     plan = advance_plan(plan, facts, _SETTINGS)
@@ -163,7 +163,7 @@
 def test_healed_region_takes_its_load_back_in_steps() -> None:
     """Its caches are cold, so the load does not return at once."""
     busy = _facts({'zagreb': _load(32), 'split': _load(4), 'osijek': _load(4)})
-    plan = _settle(Plan(), busy)
+    plan = _settle(LoadPlan(), busy)
     away = plan.measure_inflow('split') + plan.measure_inflow('osijek')
     assert away == pytest.approx(16)
     wide = {'zagreb': replace(_load(32), slots=60), 'split': _load(4)}
@@ -181,18 +181,18 @@
     """Overflow stops where the link's other traffic leaves no room."""
     loads = {'zagreb': _load(30, mbits=300), 'split': _load(2)}
     facts = _facts({**loads, 'osijek': _load(2)}, LinkLoad(204))
-    plan = advance_plan(Plan(), facts, _SETTINGS)
+    plan = advance_plan(LoadPlan(), facts, _SETTINGS)
     # 80% of 280 Mbit/s less 204 leaves 20, at 10 Mbit/s a slot.
     assert plan.measure_link('zagreb', 'split') == pytest.approx(2)
     full = _facts({**loads, 'osijek': _load(2)}, LinkLoad(300))
-    assert not advance_plan(Plan(), full, _SETTINGS).measure_inflow('split')
+    assert not advance_plan(LoadPlan(), full, _SETTINGS).measure_inflow('split')
 
 
 def test_measurements_before_the_last_step_freeze_it() -> None:
     """Lagging load cannot make the same overflow grow twice."""
     loads = {'zagreb': _load(30, age_s=4), 'split': _load(2, age_s=4)}
     facts = _facts({**loads, 'osijek': _load(2, age_s=4)}, LinkLoad(0, 4))
-    first = advance_plan(Plan(), facts, _SETTINGS)
+    first = advance_plan(LoadPlan(), facts, _SETTINGS)
     soon = replace(facts, since_step_s=3)
     assert advance_plan(first, soon, _SETTINGS).flows == first.flows
     later = replace(facts, since_step_s=5)
@@ -203,7 +203,7 @@
 def test_small_changes_are_not_acted_on() -> None:
     """Noise within the band leaves the plan alone."""
     facts = _facts({'zagreb': _load(20), 'split': _load(8), 'osijek': _load(8)})
-    plan = _settle(Plan(), facts)
+    plan = _settle(LoadPlan(), facts)
     noise = {'zagreb': _load(19.9), 'split': _load(8.1), 'osijek': _load(8)}
     assert advance_plan(plan, _facts(noise), _SETTINGS) is plan
 
@@ -216,10 +216,10 @@
         listed = 3 if now_s < 130 or now_s > 200 else 4
         budgets = [*old, young] if 100 <= now_s < 190 else old
         for one in budgets:
-            one.note_hosts(listed, now_s)
-        parts = sum(budget.measure_part(now_s) for budget in budgets)
+            one.record_host_count(listed, now_s)
+        parts = sum(budget.compute_share(now_s) for budget in budgets)
         assert parts <= 280 + _SLACK
-    assert old[0].measure_part(299) == pytest.approx(280 / 3)
+    assert old[0].compute_share(299) == pytest.approx(280 / 3)
     spender = old[0]
     spender.spend(1000, 299)
     assert not spender.can_send(1, 300)
--- a/crocusshunt/steering/tests/test_lookup.py
+++ b/crocusshunt/steering/tests/test_lookup.py
@@ -3,20 +3,20 @@
 from dataclasses import replace
 
 from crocusshunt.membership.tests.network import create_listing
-from crocusshunt.steering import Caller, Directory
+from crocusshunt.steering import Caller, EntryHostRanker
 from crocusshunt.store import HostState
 
 _HOSTS = create_listing('abc', 4)
 _DELAYS_MS = {('a', 'b'): 55, ('a', 'c'): 20, ('b', 'c'): 10, ('c', 'b'): 10}
 
 
-def _names(directory: Directory, caller: Caller, count: int) -> list[str]:
+def _names(directory: EntryHostRanker, caller: Caller, count: int) -> list[str]:
     return [host.name for host in directory.rank(caller, count)]
 
 
 def test_near_regions_first_and_domains_in_turn() -> None:
     """Each region's hosts come together, neighbours in other domains."""
-    ranked = Directory(_HOSTS, _DELAYS_MS).rank(Caller('x', 'a'), 99)
+    ranked = EntryHostRanker(_HOSTS, _DELAYS_MS).rank(Caller('x', 'a'), 99)
     assert [host.region for host in ranked] == list('aaaaccccbbbb')
     domains = [host.failure_domain for host in ranked[:4]]
     assert domains[0] != domains[1]
@@ -26,14 +26,14 @@
 def test_regions_with_servers_of_the_route_come_first() -> None:
     """A detour that only adds delay is not taken; a caller's own way is."""
     caller = Caller('x', '', frozenset('b'))
-    directory = Directory(_HOSTS, _DELAYS_MS)
+    directory = EntryHostRanker(_HOSTS, _DELAYS_MS)
     assert directory.rank(caller, 1)[0].region == 'b'
 
 
 def test_leaving_never_and_suspects_last() -> None:
     """A leaving host is not listed; a suspect one only after all others."""
     hosts = (replace(_HOSTS[0], state=HostState.leaving), *_HOSTS[1:])
-    directory = Directory(hosts, _DELAYS_MS, ('a1',))
+    directory = EntryHostRanker(hosts, _DELAYS_MS, ('a1',))
     ranked = _names(directory, Caller('x', 'a'), 99)
     assert 'a0' not in ranked
     assert ranked[-1] == 'a1'
@@ -42,8 +42,8 @@
 
 def test_a_lost_host_moves_only_its_own_callers() -> None:
     """All others keep their first host."""
-    whole = Directory(_HOSTS, _DELAYS_MS)
-    short = Directory(_HOSTS[1:], _DELAYS_MS)
+    whole = EntryHostRanker(_HOSTS, _DELAYS_MS)
+    short = EntryHostRanker(_HOSTS[1:], _DELAYS_MS)
     served = 0
     for number in range(400):
         caller = Caller(f'10.0.0.{number}', 'a')
