--- a/crocusshunt/catalog/_index.py
+++ b/crocusshunt/catalog/_index.py
@@ -75,7 +75,7 @@
         """Return the customer that holds a key, None for an unknown key."""
         return self._by_key.get(digest_key(key))
 
-    def find_least_urgency(self, pool: str) -> int:
+    def find_top_priority(self, pool: str) -> int:
         """Return the priority of the most urgent route to a pool."""
         return self._urgency.get(pool, 0)
 
--- a/crocusshunt/catalog/_values.py
+++ b/crocusshunt/catalog/_values.py
@@ -28,7 +28,7 @@
     :param max_attempts: most backend servers one request may be sent to.
     :param is_public: whether a request needs no key.
     :param is_sticky: whether requests for one object prefer one server.
-    :param homes: the only regions that may serve it, empty for all.
+    :param home_regions: the only regions that may serve it, empty for all.
     """
 
     name: str
@@ -42,7 +42,7 @@
     max_attempts: int = 1
     is_public: bool = False
     is_sticky: bool = False
-    homes: frozenset[str] = frozenset()
+    home_regions: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
     :param priority: rank before the routes' own, None for none.
     :param rate: requests a second over all hosts, 0 for no limit.
     :param burst: requests at once over all hosts.
-    :param homes: the only regions that may serve it, empty for all.
+    :param home_regions: the only regions that may serve it, empty for all.
     """
 
     name: str
@@ -77,7 +77,7 @@
     priority: int | None = None
     rate: float = 0
     burst: float = 0
-    homes: frozenset[str] = frozenset()
+    home_regions: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
--- a/crocusshunt/feeds/_follower.py
+++ b/crocusshunt/feeds/_follower.py
@@ -98,7 +98,7 @@
             return False
         return True
 
-    def take_from_peer(self, changes: Changes) -> bool:
+    def apply_peer_image(self, changes: Changes) -> bool:
         """Take a peer's newer image; return whether it was newer."""
         if changes.version <= self.image.version:
             return False
--- a/crocusshunt/feeds/tests/test_follower.py
+++ b/crocusshunt/feeds/tests/test_follower.py
@@ -116,8 +116,8 @@
     await follower.poll()
     stale = Changes((Row('a', b'old', 1),), 1)
     newer = Changes((Row('c', b'new', 9),), 9)
-    assert not follower.take_from_peer(stale)
-    assert follower.take_from_peer(newer)
+    assert not follower.apply_peer_image(stale)
+    assert follower.apply_peer_image(newer)
     assert scene.news[-2:] == [('c', False), ('a', True)]
     await follower.poll()
     assert follower.image.rows.keys() == {'c'}
--- a/crocusshunt/fleet/_messages.py
+++ b/crocusshunt/fleet/_messages.py
@@ -67,7 +67,7 @@
     busy: dict[str, float] = {}
 
 
-class TokenAsk(msgspec.Struct, frozen=True, array_like=True, tag='ask'):
+class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag='ask'):
     """Asks the host that keeps a customer's tokens for one.
 
     :param name: the host that asks.
@@ -81,7 +81,7 @@
     patience_s: float
 
 
-class TokenGrant(msgspec.Struct, frozen=True, array_like=True, tag='grant'):
+class TokenReply(msgspec.Struct, frozen=True, array_like=True, tag='grant'):
     """Answers an ask.
 
     :param name: the host that answers.
@@ -96,8 +96,8 @@
     wait_s: float = 0
 
 
-News = Heartbeat | RegionSummary
-Message = News | TokenAsk | TokenGrant
+StatusMessage = Heartbeat | RegionSummary
+Message = StatusMessage | TokenRequest | TokenReply
 
 
 def encode(message: msgspec.Struct) -> bytes:
--- a/crocusshunt/fleet/_view.py
+++ b/crocusshunt/fleet/_view.py
@@ -6,8 +6,8 @@
 from crocusshunt.fleet._messages import (
     Heartbeat,
     HostRecord,
-    News,
     RegionSummary,
+    StatusMessage,
 )
 
 
@@ -52,7 +52,7 @@
     >>> view = FleetView(own, FleetSettings())
     >>> view.names
     ('h1',)
-    >>> view.find_entries('a1', 'a', now=0, is_ready=True)
+    >>> view.find_front_addresses('a1', 'a', now=0, is_ready=True)
     ('10.0.0.1:80',)
     """
 
@@ -81,7 +81,7 @@
         self.peers.pop(name, None)
 
     @property
-    def neighbours(self) -> tuple[HostRecord, ...]:
+    def same_region_hosts(self) -> tuple[HostRecord, ...]:
         """Return the records of the other hosts of this region."""
         return tuple(
             peer.record
@@ -90,7 +90,7 @@
         )
 
     @property
-    def strangers(self) -> tuple[HostRecord, ...]:
+    def other_region_hosts(self) -> tuple[HostRecord, ...]:
         """Return the records of the hosts of all other regions."""
         return tuple(
             peer.record
@@ -105,12 +105,12 @@
             peer.record.region == region for peer in self.peers.values()
         )
 
-    def speaks_for_region(self, now: float) -> bool:
+    def is_summary_sender(self, now: float) -> bool:
         """Tell whether this host sends its region's summary."""
-        heard = (peer.record.name for peer in self.list_heard(now))
+        heard = (peer.record.name for peer in self.list_live(now))
         return all(self.own.name < name for name in heard)
 
-    def hear(self, message: News, now: float) -> Peer | None:
+    def handle_message(self, message: StatusMessage, now: float) -> Peer | None:
         """Take a message; return its host, None for an unknown or old one."""
         peer = self.peers.get(message.name)
         if peer is None:
@@ -125,7 +125,7 @@
         peer.heard_at = now
         return peer
 
-    def list_heard(self, now: float) -> tuple[Peer, ...]:
+    def list_live(self, now: float) -> tuple[Peer, ...]:
         """Return the other hosts of this region that were heard lately."""
         limit = self._settings.silent_after_s
         return tuple(
@@ -138,7 +138,7 @@
         """Return the other hosts of this region that take requests."""
         return tuple(
             peer.record
-            for peer in self.list_heard(now)
+            for peer in self.list_live(now)
             if peer.heartbeat is not None and peer.heartbeat.is_ready
         )
 
@@ -151,7 +151,7 @@
             if now - heard.heard_at <= limit
         )
 
-    def find_entries(
+    def find_front_addresses(
         self,
         failure_domain: str,
         region: str,
--- a/crocusshunt/fleet/tests/test_view.py
+++ b/crocusshunt/fleet/tests/test_view.py
@@ -41,36 +41,39 @@
 
 def test_silent_host_leaves_the_answers_to_callers() -> None:
     view = _view()
-    view.hear(_beat('h1'), now=10)
-    view.hear(_beat('h3'), now=12)
-    found = view.find_entries('a1', 'a', now=12, is_ready=True)
+    view.handle_message(_beat('h1'), now=10)
+    view.handle_message(_beat('h3'), now=12)
+    found = view.find_front_addresses('a1', 'a', now=12, is_ready=True)
     assert found == (view.peers['h1'].record.front_address, '10.0.0.50:80')
     # A caller gets more than one address, so the whole region's here.
-    later = view.find_entries('a1', 'a', now=14, is_ready=True)
+    later = view.find_front_addresses('a1', 'a', now=14, is_ready=True)
     assert later == ('10.0.0.50:80', '10.0.0.51:80')
 
 
 def test_overtaken_heartbeat_is_old_and_a_restart_is_not() -> None:
     view = _view()
-    assert view.hear(_beat('h1', sequence=7), now=1) is not None
-    assert view.hear(_beat('h1', sequence=6), now=1) is None
-    assert view.hear(_beat('h1', sequence=1, started_at=4), now=1) is not None
-    assert view.hear(_beat('stranger'), now=1) is None
+    assert view.handle_message(_beat('h1', sequence=7), now=1) is not None
+    assert view.handle_message(_beat('h1', sequence=6), now=1) is None
+    assert (
+        view.handle_message(_beat('h1', sequence=1, started_at=4), now=1)
+        is not None
+    )
+    assert view.handle_message(_beat('stranger'), now=1) is None
 
 
 def test_one_heard_host_speaks_for_the_region() -> None:
     view = _view()
-    assert view.speaks_for_region(now=0)
-    view.hear(_beat('h3'), now=0)
-    assert view.speaks_for_region(now=1)
-    view.hear(_beat('h1'), now=1)
-    assert not view.speaks_for_region(now=2)
-    assert view.speaks_for_region(now=9)
+    assert view.is_summary_sender(now=0)
+    view.handle_message(_beat('h3'), now=0)
+    assert view.is_summary_sender(now=1)
+    view.handle_message(_beat('h1'), now=1)
+    assert not view.is_summary_sender(now=2)
+    assert view.is_summary_sender(now=9)
 
 
 def test_summary_of_another_region_counts_while_it_is_fresh() -> None:
     view = _view()
-    view.hear(RegionSummary('h4', 5, 1, 'b', 1), now=0)
+    view.handle_message(RegionSummary('h4', 5, 1, 'b', 1), now=0)
     assert [one.region for one in view.list_summaries(now=2)] == ['b']
     assert not view.list_summaries(now=4)
     assert (view.count_hosts('a'), view.count_hosts('b')) == (3, 1)
--- a/crocusshunt/front/_admission.py
+++ b/crocusshunt/front/_admission.py
@@ -57,10 +57,10 @@
     customer: CustomerRule | None,
 ) -> frozenset[str] | None:
     """Return the regions that both route and customer allow."""
-    customer_homes = frozenset() if customer is None else customer.homes
-    if route.homes and customer_homes:
-        return route.homes & customer_homes
-    return route.homes or customer_homes or None
+    customer_homes = frozenset() if customer is None else customer.home_regions
+    if route.home_regions and customer_homes:
+        return route.home_regions & customer_homes
+    return route.home_regions or customer_homes or None
 
 
 def _find_urgency(
--- a/crocusshunt/front/_assembly.py
+++ b/crocusshunt/front/_assembly.py
@@ -27,9 +27,9 @@
 from crocusshunt.metrics import MetricsSettings, RequestMetrics
 from crocusshunt.placement import (
     ChoiceSettings,
-    HealthBook,
     HealthSettings,
-    ServerBook,
+    HealthTracker,
+    ServerRegistry,
 )
 from crocusshunt.services import TaskGroup
 from crocusshunt.sharing import RetryLimit, RetryLimiter
@@ -140,8 +140,8 @@
     )
     echo = _describe_echo(source.headers)
     books = Books(
-        ServerBook(dict(settings.regions)),
-        HealthBook(HealthSettings()),
+        ServerRegistry(dict(settings.regions)),
+        HealthTracker(HealthSettings()),
         FleetView(own, FleetSettings()),
         ConnectionPool(PoolSettings(), echo, clock),
     )
--- a/crocusshunt/front/_demands.py
+++ b/crocusshunt/front/_demands.py
@@ -61,7 +61,7 @@
 ) -> FleetDemand:
     """Return what this host and the others tell of their demand."""
     hosts: dict[str, Mapping[str, float]] = {fleet.own.name: meter.rates(now)}
-    for peer in fleet.list_heard(now):
+    for peer in fleet.list_live(now):
         if peer.heartbeat is not None:
             hosts[peer.record.name] = peer.heartbeat.demand
     own_region = RegionDemand(len(hosts), _sum_rates(hosts))
--- a/crocusshunt/front/_directory.py
+++ b/crocusshunt/front/_directory.py
@@ -36,7 +36,7 @@
         """Answer a look-up."""
         if request.path != '/resolve':
             return web.Response(status=_STATUS_NOT_FOUND)
-        entries = self._fleet.find_entries(
+        entries = self._fleet.find_front_addresses(
             request.query.get('zone', ''),
             request.query.get('region', ''),
             self._clock.monotonic(),
--- a/crocusshunt/front/_exchange.py
+++ b/crocusshunt/front/_exchange.py
@@ -272,7 +272,7 @@
         now = self._clock.monotonic()
         if outcome.verdict is Verdict.answered:
             if knowledge.health.note_success(name):
-                knowledge.servers.cool(name, now + _RETURN_COLD_S)
+                knowledge.servers.mark_cold(name, now + _RETURN_COLD_S)
         elif outcome.verdict is Verdict.misdirected:
             # Whoever has the address now, it is not this server.
             self._knowledge.drop_server(name, 'address has another server')
--- a/crocusshunt/front/_followers.py
+++ b/crocusshunt/front/_followers.py
@@ -139,7 +139,7 @@
                 cause=repr(error),
             )
             return
-        is_newer = follower.take_from_peer(changes)
+        is_newer = follower.apply_peer_image(changes)
         log_event(
             'peer image fetched',
             peer=peer.name,
--- a/crocusshunt/front/_knowledge.py
+++ b/crocusshunt/front/_knowledge.py
@@ -12,9 +12,9 @@
 from crocusshunt.front._settings import SourceFormat
 from crocusshunt.logs import log_event
 from crocusshunt.placement import (
-    HealthBook,
-    ServerBook,
+    HealthTracker,
     ServerEntry,
+    ServerRegistry,
     TrackedServer,
 )
 from crocusshunt.upstream import ConnectionPool
@@ -24,8 +24,8 @@
 class Books:
     """Books that news are written into."""
 
-    servers: ServerBook
-    health: HealthBook
+    servers: ServerRegistry
+    health: HealthTracker
     fleet: FleetView
     connections: ConnectionPool
 
@@ -168,7 +168,7 @@
             # The servers may have lost what they held meanwhile, and say so
             # only with their next heartbeat.
             cold_s = self.find_cold_s(tracked.entry.pool)
-            servers.cool(tracked.entry.name, now + cold_s)
+            servers.mark_cold(tracked.entry.name, now + cold_s)
 
     def _put_server(self, entry: ServerEntry, version: int) -> None:
         known = self.servers.find(entry.name)
--- a/crocusshunt/front/_limits.py
+++ b/crocusshunt/front/_limits.py
@@ -8,7 +8,7 @@
 from crocusshunt.logs import log_event
 from crocusshunt.sharing import (
     CustomerLimiter,
-    CustomerPart,
+    CustomerShare,
     DemandMeter,
     RetryLimiter,
     choose_keeper,
@@ -27,7 +27,7 @@
     retries: RetryLimiter
     customers: CustomerLimiter = field(default_factory=CustomerLimiter)
     demand: DemandMeter = field(default_factory=DemandMeter)
-    parts: dict[str, CustomerPart] = field(default_factory=dict)
+    parts: dict[str, CustomerShare] = field(default_factory=dict)
     _limited: frozenset[str] = frozenset()
     _pressed: frozenset[str] = frozenset()
 
@@ -99,7 +99,7 @@
         now: float,
     ) -> None:
         burst = rule.burst * part / rule.rate
-        self.parts[rule.name] = CustomerPart(keeper, part, burst)
+        self.parts[rule.name] = CustomerShare(keeper, part, burst)
         if keeper in {'', self.own_name}:
             self.customers.resize(rule.name, part, burst, now)
         else:
@@ -113,13 +113,15 @@
         asked: float,
         hosts: int,
     ) -> None:
-        is_pressed = asked >= _PRESSED * rule.rate
-        self.customers.press(rule.name, is_pressed=is_pressed)
-        if is_pressed == (rule.name in self._pressed):
+        is_over_rate = asked >= _PRESSED * rule.rate
+        self.customers.set_over_rate(rule.name, is_over_rate=is_over_rate)
+        if is_over_rate == (rule.name in self._pressed):
             return
         self._pressed ^= {rule.name}
         log_event(
-            'customer over its rate' if is_pressed else 'customer in its rate',
+            'customer over its rate'
+            if is_over_rate
+            else 'customer in its rate',
             customer=rule.name,
             rate=rule.rate,
             asked=round(asked, 1),
--- a/crocusshunt/front/_localities.py
+++ b/crocusshunt/front/_localities.py
@@ -7,8 +7,8 @@
 from crocusshunt.front._placing import PlacerState
 from crocusshunt.placement import (
     Locality,
-    RegionRoom,
-    adjust_relief,
+    RegionLoad,
+    adjust_local_factor,
     plan_locality,
 )
 
@@ -48,7 +48,7 @@
         """Take loads of full servers that another host tells of."""
         for server, total in full.items():
             if self.knowledge.servers.find(server) is not None:
-                self.state.find_load(server).note_peer(total, now)
+                self.state.find_load(server).note_peer_report(total, now)
 
     def forget_gone(self) -> None:
         """Drop what is known of servers that are gone."""
@@ -60,7 +60,7 @@
     def sum_busy(self, now: float) -> dict[str, float]:
         """Return the busy slots of this region's hosts, by pool."""
         total = dict(self.busy)
-        for peer in self.knowledge.fleet.list_heard(now):
+        for peer in self.knowledge.fleet.list_live(now):
             heard = {} if peer.heartbeat is None else peer.heartbeat.busy
             for pool, busy in heard.items():
                 total[pool] = total.get(pool, 0) + busy
@@ -75,7 +75,7 @@
             load = self.state.find_load(server.entry.name).estimate(now)
             group = own if server.region == own_region else others
             group.append(load >= server.entry.slots)
-        relief = adjust_relief(
+        relief = adjust_local_factor(
             self.relief.get(pool, 1),
             _mean(own),
             _mean(others),
@@ -93,7 +93,7 @@
             known = self.busy.get(pool, 0)
             self.busy[pool] = known + _NEWEST * (busy - known)
 
-    def _find_rooms(self, pool: str, now: float) -> Mapping[str, RegionRoom]:
+    def _find_rooms(self, pool: str, now: float) -> Mapping[str, RegionLoad]:
         """Return slots and demand of each region for a pool.
 
         Until traffic is measured, all regions are taken to want the same.
@@ -108,7 +108,7 @@
             expected = _EXPECTED_UTILIZATION * sum(slots.values())
             demand = dict.fromkeys(regions, expected / len(regions))
         return {
-            name: RegionRoom(slots.get(name, 0), demand.get(name, 0))
+            name: RegionLoad(slots.get(name, 0), demand.get(name, 0))
             for name in regions
         }
 
--- a/crocusshunt/front/_placing.py
+++ b/crocusshunt/front/_placing.py
@@ -8,19 +8,19 @@
 from crocusshunt.front._admission import Admission
 from crocusshunt.front._knowledge import Knowledge
 from crocusshunt.placement import (
+    Candidate,
     Choice,
     ChoiceSettings,
-    FamiliarObjects,
     Locality,
-    Need,
-    Ranked,
+    RecentObjects,
+    RequestConstraints,
     ServerLoad,
     ServiceTimes,
     TrackedServer,
     choose_server,
     rank_servers,
 )
-from crocusshunt.sharing import RetryLimit, RetryLimiter, SpacedLimiter
+from crocusshunt.sharing import MinIntervalLimiter, RetryLimit, RetryLimiter
 
 # Two hosts share a cold server's rate, so that one lost host does not leave
 # it without work.
@@ -75,7 +75,7 @@
     wait_s: float = 0
     cause: str = ''
     finish_s: float = 0
-    considered: tuple[Ranked, ...] = ()
+    considered: tuple[Candidate, ...] = ()
 
 
 def _create_overflow() -> RetryLimiter:
@@ -95,8 +95,8 @@
     loads: dict[str, ServerLoad] = field(default_factory=dict)
     times: ServiceTimes = field(default_factory=ServiceTimes)
     localities: Mapping[str, Locality] = field(default_factory=dict)
-    familiar: FamiliarObjects = field(default_factory=FamiliarObjects)
-    trickle: SpacedLimiter = field(default_factory=SpacedLimiter)
+    familiar: RecentObjects = field(default_factory=RecentObjects)
+    trickle: MinIntervalLimiter = field(default_factory=MinIntervalLimiter)
     overflow: RetryLimiter = field(default_factory=_create_overflow)
     full: dict[str, int] = field(default_factory=dict)
 
@@ -239,7 +239,7 @@
         replicas: list[TrackedServer],
         now: float,
     ) -> Placement:
-        need = Need(
+        need = RequestConstraints(
             placing.objective_at - now,
             placing.final_at - now,
             self._is_urgent(placing),
@@ -255,39 +255,39 @@
         if index is None:
             return True
         own = placing.admission.route.priority
-        return own <= index.find_least_urgency(placing.pool)
+        return own <= index.find_top_priority(placing.pool)
 
     def _describe(
         self,
         server: TrackedServer,
         placing: Placing,
         now: float,
-    ) -> Ranked:
+    ) -> Candidate:
         own_region = self._knowledge.fleet.own.region
         route = placing.admission.route
         times = self._state.times
         name = server.entry.name
         objective_s = route.objective_s
-        return Ranked(
+        return Candidate(
             name,
             server.entry.slots,
             self._state.find_load(name).estimate(now),
-            times.expect_service(route.name, objective_s, name),
-            times.expect_turn(placing.pool, objective_s, name),
+            times.estimate_service_time(route.name, objective_s, name),
+            times.estimate_slot_release(placing.pool, objective_s, name),
             0 if server.region == own_region else _REMOTE_DISTANCE_S,
-            self._state.familiar.is_familiar(name, placing.key),
+            self._state.familiar.is_recent(name, placing.key),
         )
 
 
 def _describe_choice(
     choice: Choice,
     replicas: list[TrackedServer],
-    considered: tuple[Ranked, ...],
+    considered: tuple[Candidate, ...],
 ) -> Placement:
     if choice.index is None:
         return Placement(
             None,
-            wait_s=choice.excess_s,
+            wait_s=choice.next_slot_s,
             cause='no-room',
             finish_s=choice.finish_s,
             considered=considered,
--- a/crocusshunt/front/_rounds.py
+++ b/crocusshunt/front/_rounds.py
@@ -10,10 +10,10 @@
 from crocusshunt.fleet import (
     FleetSettings,
     Heartbeat,
-    News,
     RegionSummary,
-    TokenAsk,
-    TokenGrant,
+    StatusMessage,
+    TokenReply,
+    TokenRequest,
     decode_message,
 )
 from crocusshunt.front._followers import Followers
@@ -82,19 +82,21 @@
         fleet = self.knowledge.fleet
         self._sequence += 1
         self._was_ready = self.readiness.is_ready
-        self.outbox.send(self._create_heartbeat(now), fleet.neighbours)
+        self.outbox.send(self._create_heartbeat(now), fleet.same_region_hosts)
         self.planner.state.forget_full()
-        if fleet.speaks_for_region(now):
-            self.outbox.send(self._create_summary(now), fleet.strangers)
+        if fleet.is_summary_sender(now):
+            self.outbox.send(
+                self._create_summary(now), fleet.other_region_hosts
+            )
 
     def receive(self, content: bytes) -> None:
         """Take a datagram of another host."""
         message = decode_message(content)
         if message is None:
             log_event('datagram ignored', logging.WARNING, size=len(content))
-        elif isinstance(message, TokenAsk):
+        elif isinstance(message, TokenRequest):
             self.tokens.answer(message)
-        elif isinstance(message, TokenGrant):
+        elif isinstance(message, TokenReply):
             self.tokens.receive(message)
         else:
             self._hear(message)
@@ -110,7 +112,7 @@
         is_ready = self.readiness.is_ready
         self.tokens.limits.divide(self.clock.monotonic(), is_ready=is_ready)
 
-    def _is_newcomer(self, message: News) -> bool:
+    def _is_newcomer(self, message: StatusMessage) -> bool:
         """Tell whether a heartbeat is the first one of its host's start."""
         peer = self.knowledge.fleet.peers.get(message.name)
         if peer is None or not isinstance(message, Heartbeat):
@@ -125,10 +127,10 @@
         heartbeat = self._create_heartbeat(self.clock.monotonic())
         self.outbox.send_to(heartbeat, host)
 
-    def _hear(self, message: News) -> None:
+    def _hear(self, message: StatusMessage) -> None:
         now = self.clock.monotonic()
         is_newcomer = self._is_newcomer(message)
-        peer = self.knowledge.fleet.hear(message, now)
+        peer = self.knowledge.fleet.handle_message(message, now)
         if is_newcomer:
             self._greet(message.name)
         if peer is not None and isinstance(message, Heartbeat):
@@ -140,7 +142,7 @@
     def _note_hosts(self, now: float) -> None:
         """Log hosts that fell silent or are heard again."""
         fleet = self.knowledge.fleet
-        heard = frozenset(one.record.name for one in fleet.list_heard(now))
+        heard = frozenset(one.record.name for one in fleet.list_live(now))
         for silent in sorted(self._heard - heard):
             log_event('host silent', logging.WARNING, host=silent)
         for found in sorted(heard - self._heard):
--- a/crocusshunt/front/_service.py
+++ b/crocusshunt/front/_service.py
@@ -96,7 +96,7 @@
 
     def _apply(self, settings: FrontSettings) -> None:
         self.settings = settings
-        self._parts.knowledge.servers.divide(dict(settings.regions))
+        self._parts.knowledge.servers.assign_regions(dict(settings.regions))
         self._store.redirect(settings.store_address)
 
     async def _listen_all(self) -> None:
--- a/crocusshunt/front/_tokens.py
+++ b/crocusshunt/front/_tokens.py
@@ -6,10 +6,10 @@
 
 from crocusshunt.catalog import CustomerRule
 from crocusshunt.core import Clock
-from crocusshunt.fleet import Message, TokenAsk, TokenGrant
+from crocusshunt.fleet import Message, TokenReply, TokenRequest
 from crocusshunt.front._limits import SharedLimits
 from crocusshunt.logs import log_event
-from crocusshunt.sharing import CustomerLimiter, CustomerPart, Grant
+from crocusshunt.sharing import CustomerLimiter, CustomerShare, Grant
 
 # Well above a round trip within a region.
 _ANSWER_WAIT_S = 0.03
@@ -37,7 +37,7 @@
     clock: Clock
     send: Send
     _number: int = 0
-    _waiting: dict[int, asyncio.Future[TokenGrant]] = field(
+    _waiting: dict[int, asyncio.Future[TokenReply]] = field(
         default_factory=dict,
     )
     _silent_until: dict[str, float] = field(default_factory=dict)
@@ -73,17 +73,17 @@
         """
         self.limits.customers.put_back(customer)
 
-    def answer(self, ask: TokenAsk) -> None:
+    def answer(self, ask: TokenRequest) -> None:
         """Give a token to another host, or tell it who keeps them."""
         own = self.limits.own_name
         part = self.limits.parts.get(ask.customer)
         if part is None or part.keeper != own:
             keeper = '' if part is None else part.keeper
-            reply = TokenGrant(own, ask.number, keeper)
+            reply = TokenReply(own, ask.number, keeper)
         else:
             now = self.clock.monotonic()
             grant = self._take_here(ask.customer, now, ask.patience_s)
-            reply = TokenGrant(
+            reply = TokenReply(
                 own,
                 ask.number,
                 own,
@@ -92,13 +92,13 @@
             )
         self.send(reply, ask.name)
 
-    def receive(self, granted: TokenGrant) -> None:
+    def receive(self, granted: TokenReply) -> None:
         """Take the answer to an ask; one that came before is passed over."""
         waiter = self._waiting.pop(granted.number, None)
         if waiter is not None and not waiter.done():
             waiter.set_result(granted)
 
-    def _is_kept_here(self, part: CustomerPart) -> bool:
+    def _is_kept_here(self, part: CustomerShare) -> bool:
         return part.keeper in {'', self.limits.own_name}
 
     async def _ask(
@@ -106,7 +106,7 @@
         keeper: str,
         customer: str,
         patience_s: float,
-    ) -> TokenGrant | None:
+    ) -> TokenReply | None:
         """Return the answer of a host, None if it gives none."""
         now = self.clock.monotonic()
         if not keeper or now < self._silent_until.get(keeper, 0):
@@ -117,7 +117,7 @@
         while granted is None and sendings < _SENDINGS:
             sendings += 1
             self._number += 1
-            ask = TokenAsk(own, self._number, customer, patience_s)
+            ask = TokenRequest(own, self._number, customer, patience_s)
             granted = await self._send_ask(ask, keeper)
         if granted is not None:
             return granted
@@ -125,9 +125,11 @@
         log_event('keeper silent', keeper=keeper, customer=customer)
         return None
 
-    async def _send_ask(self, ask: TokenAsk, keeper: str) -> TokenGrant | None:
+    async def _send_ask(
+        self, ask: TokenRequest, keeper: str
+    ) -> TokenReply | None:
         loop = asyncio.get_running_loop()
-        waiter: asyncio.Future[TokenGrant] = loop.create_future()
+        waiter: asyncio.Future[TokenReply] = loop.create_future()
         self._waiting[ask.number] = waiter
         self.send(ask, keeper)
         try:
@@ -150,7 +152,7 @@
     def _take_spare(
         self,
         customer: str,
-        part: CustomerPart,
+        part: CustomerShare,
         patience_s: float,
     ) -> Grant:
         now = self.clock.monotonic()
--- a/crocusshunt/front/tests/_deployment.py
+++ b/crocusshunt/front/tests/_deployment.py
@@ -12,7 +12,7 @@
 
 from crocusshunt.core import SystemClock
 from crocusshunt.front import FrontService, FrontSettings
-from crocusshunt.platform import SOURCE
+from crocusshunt.platform import SOURCE_FORMAT
 from crocusshunt.standin import (
     CONFIGURATION_KEY,
     CONFIGURATION_TABLE,
@@ -26,7 +26,7 @@
     encode_server,
 )
 
-NAMES = SOURCE.headers
+NAMES = SOURCE_FORMAT.headers
 KEY = 'key-of-court'
 _CATCH_UP_S = 10
 _POLL_S = 0.02
@@ -168,7 +168,7 @@
     )
     service = FrontService(
         settings,
-        SOURCE,
+        SOURCE_FORMAT,
         store,
         lambda: Ok(settings),
         SystemClock(),
--- a/crocusshunt/front/tests/test_rounds.py
+++ b/crocusshunt/front/tests/test_rounds.py
@@ -20,7 +20,7 @@
 from crocusshunt.front._placing import PlacerState
 from crocusshunt.front._rounds import Rounds
 from crocusshunt.front._tokens import TokenDesk
-from crocusshunt.placement import ServerBook, ServerEntry
+from crocusshunt.placement import ServerEntry, ServerRegistry
 from crocusshunt.sharing import RetryLimit, RetryLimiter
 
 _NAMES = ('h1', 'h2')
@@ -39,7 +39,7 @@
         fleet = FleetView(_record(name), FleetSettings())
         for peer in _NAMES:
             fleet.put(_record(peer))
-        servers = ServerBook({'a1': 'a', 'b1': 'b'})
+        servers = ServerRegistry({'a1': 'a', 'b1': 'b'})
         for number in range(4):
             domain = 'a1' if number < 2 else 'b1'
             entry = ServerEntry(f's{number}', 'p', f'x:{number}', domain, 4)
@@ -85,7 +85,7 @@
 
 
 def _list_heard(rounds: Rounds, now: float) -> Iterable[str]:
-    heard = rounds.knowledge.fleet.list_heard(now)
+    heard = rounds.knowledge.fleet.list_live(now)
     return [peer.record.name for peer in heard]
 
 
@@ -164,7 +164,7 @@
     rounds.run_once()
     assert 's0' in state.loads
     assert 's1' not in state.loads
-    assert not state.familiar.is_familiar('s1', 'o1')
+    assert not state.familiar.is_recent('s1', 'o1')
 
 
 def test_garbage_is_logged_and_passed_over() -> None:
--- a/crocusshunt/front/tests/test_tokens.py
+++ b/crocusshunt/front/tests/test_tokens.py
@@ -13,8 +13,8 @@
     Heartbeat,
     HostRecord,
     Message,
-    TokenAsk,
-    TokenGrant,
+    TokenReply,
+    TokenRequest,
 )
 from crocusshunt.front._limits import SharedLimits
 from crocusshunt.front._tokens import TokenDesk
@@ -38,9 +38,9 @@
         if host in self.lost or message.name in self.lost:
             return
         desk = self.desks[host]
-        if isinstance(message, TokenAsk):
+        if isinstance(message, TokenRequest):
             desk.answer(message)
-        elif isinstance(message, TokenGrant):
+        elif isinstance(message, TokenReply):
             desk.receive(message)
 
     def divide(self, heard: Iterable[str] = _HOSTS) -> None:
@@ -49,7 +49,7 @@
         for desk in self.desks.values():
             for name in heard:
                 beat = Heartbeat(name, round(now), 1, is_ready=True)
-                desk.limits.knowledge.fleet.hear(beat, now)
+                desk.limits.knowledge.fleet.handle_message(beat, now)
             desk.limits.divide(now, is_ready=True)
 
     @property
@@ -156,7 +156,7 @@
 async def test_late_answer_changes_nothing() -> None:
     network = _connect()
     desk = network.desks[network.others[0]]
-    desk.receive(TokenGrant(network.keeper, 99, network.keeper))
+    desk.receive(TokenReply(network.keeper, 99, network.keeper))
     network.clock.advance(1)
     async with asyncio.timeout(1):
         assert (await desk.take(_RULE, 0)).is_granted
--- a/crocusshunt/placement/__init__.py
+++ b/crocusshunt/placement/__init__.py
@@ -1,25 +1,25 @@
 """Which backend server gets a request."""
 
-from crocusshunt.placement._book import ServerBook, TrackedServer
+from crocusshunt.placement._book import ServerRegistry, TrackedServer
 from crocusshunt.placement._choice import (
+    Candidate,
     Choice,
     ChoiceSettings,
-    Need,
-    Ranked,
+    RequestConstraints,
     choose_server,
 )
-from crocusshunt.placement._familiarity import FamiliarObjects
+from crocusshunt.placement._familiarity import RecentObjects
 from crocusshunt.placement._health import (
-    HealthBook,
     HealthSettings,
+    HealthTracker,
     ServerFailure,
     ServerHealth,
 )
 from crocusshunt.placement._loads import LoadReport, ServerLoad, parse_load
 from crocusshunt.placement._locality import (
     Locality,
-    RegionRoom,
-    adjust_relief,
+    RegionLoad,
+    adjust_local_factor,
     plan_locality,
     rank_servers,
 )
@@ -28,26 +28,26 @@
 from crocusshunt.placement._values import ServerEntry
 
 __all__ = (
+    'Candidate',
     'Choice',
     'ChoiceSettings',
-    'FamiliarObjects',
-    'HealthBook',
     'HealthSettings',
+    'HealthTracker',
     'LoadReport',
     'Locality',
-    'Need',
-    'Ranked',
-    'RegionRoom',
-    'ServerBook',
+    'RecentObjects',
+    'RegionLoad',
+    'RequestConstraints',
     'ServerEntry',
     'ServerFailure',
     'ServerHealth',
     'ServerLoad',
+    'ServerRegistry',
     'ServiceTimes',
     'Timing',
     'TrackedServer',
     'WeightedSplit',
-    'adjust_relief',
+    'adjust_local_factor',
     'choose_server',
     'parse_load',
     'plan_locality',
--- a/crocusshunt/placement/_book.py
+++ b/crocusshunt/placement/_book.py
@@ -21,10 +21,10 @@
         return now < self.cold_until
 
 
-class ServerBook:
+class ServerRegistry:
     """Entries of all backend servers, by name and by pool.
 
-    >>> book = ServerBook({'a1': 'a'})
+    >>> book = ServerRegistry({'a1': 'a'})
     >>> book.put(ServerEntry('s1', 'verify', '10.0.0.1:80', 'a1', 4), now=0)
     >>> [one.entry.name for one in book.select('verify')]
     ['s1']
@@ -48,7 +48,7 @@
         """Return the names of all pools that have servers."""
         return frozenset(one.entry.pool for one in self._tracked.values())
 
-    def divide(self, regions: dict[str, str]) -> None:
+    def assign_regions(self, regions: dict[str, str]) -> None:
         """Take another division of failure domains into regions."""
         self._regions = regions
         self._selected = {}
@@ -76,7 +76,7 @@
         known = self._tracked.pop(name, None)
         return None if known is None else known.entry
 
-    def cool(self, name: str, until: float) -> None:
+    def mark_cold(self, name: str, until: float) -> None:
         """Treat a server as cold until a moment."""
         known = self._tracked.get(name)
         if known is not None and known.cold_until < until:
--- a/crocusshunt/placement/_choice.py
+++ b/crocusshunt/placement/_choice.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class RequestConstraints:
     """What one request needs of a server.
 
     :param objective_left_s: until the latency objective is missed.
@@ -39,40 +39,40 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ranked:
+class Candidate:
     """A server in the order of preference.
 
     :param load: requests running or waiting there.
     :param service_s: expected time of the request in a slot, in seconds.
-    :param turn_s: expected time until a busy slot is free, in seconds.
-    :param distance_s: round trip to it, in seconds.
-    :param is_familiar: whether it has handled the object lately.
+    :param slot_release_s: expected time until a busy slot is free, in seconds.
+    :param round_trip_s: round trip to it, in seconds.
+    :param has_recent_object: whether it has handled the object lately.
     """
 
     name: str
     slots: int
     load: float
     service_s: float
-    turn_s: float
-    distance_s: float = 0
-    is_familiar: bool = True
+    slot_release_s: float
+    round_trip_s: float = 0
+    has_recent_object: bool = True
 
     @property
     def wait_s(self) -> float:
         """Return the expected wait for a slot, in seconds."""
         behind = max(0, self.load + 1 - self.slots)
-        return behind / self.slots * self.turn_s
+        return behind / self.slots * self.slot_release_s
 
     @property
-    def excess_s(self) -> float:
+    def next_slot_s(self) -> float:
         """Return the expected time until one more slot is free, in seconds."""
         behind = max(1, self.load + 1 - self.slots)
-        return behind / self.slots * self.turn_s
+        return behind / self.slots * self.slot_release_s
 
     def finish_s(self, unfamiliar: float) -> float:
         """Return the expected time until the answer, in seconds."""
-        factor = 1 if self.is_familiar else unfamiliar
-        return self.wait_s + self.service_s * factor + self.distance_s
+        factor = 1 if self.has_recent_object else unfamiliar
+        return self.wait_s + self.service_s * factor + self.round_trip_s
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,17 +81,17 @@
 
     :param index: rank of the server that gets it, None for no server.
     :param finish_s: expected time until its answer.
-    :param excess_s: without a server, until one may have room.
+    :param next_slot_s: without a server, until one may have room.
     """
 
     index: int | None
     finish_s: float
-    excess_s: float = 0
+    next_slot_s: float = 0
 
 
 def choose_server(
-    need: Need,
-    ranked: Sequence[Ranked],
+    need: RequestConstraints,
+    ranked: Sequence[Candidate],
     settings: ChoiceSettings,
 ) -> Choice:
     """Return the server that serves a request best.
@@ -102,8 +102,9 @@
     preferred one has none. A request that none has room for is turned away
     at once: what runs beyond the room would make all others late.
 
-    >>> need = Need(objective_left_s=0.6, time_left_s=4)
-    >>> full, free = Ranked('s1', 4, 9, 0.2, 0.3), Ranked('s2', 4, 0, 0.2, 0.3)
+    >>> need = RequestConstraints(objective_left_s=0.6, time_left_s=4)
+    >>> full = Candidate('s1', 4, 9, 0.2, 0.3)
+    >>> free = Candidate('s2', 4, 0, 0.2, 0.3)
     >>> choose_server(need, (full, free), ChoiceSettings()).index
     1
     >>> choose_server(need, (free, full), ChoiceSettings()).index
@@ -118,12 +119,12 @@
     for index in order:
         if _has_room(need, ranked[index], times[index], settings):
             return Choice(index, times[index])
-    return Choice(None, times[0], min(one.excess_s for one in ranked))
+    return Choice(None, times[0], min(one.next_slot_s for one in ranked))
 
 
 def _has_room(
-    need: Need,
-    server: Ranked,
+    need: RequestConstraints,
+    server: Candidate,
     finish_s: float,
     settings: ChoiceSettings,
 ) -> bool:
--- a/crocusshunt/placement/_familiarity.py
+++ b/crocusshunt/placement/_familiarity.py
@@ -8,12 +8,12 @@
 
 
 @dataclass(slots=True)
-class FamiliarObjects:
+class RecentObjects:
     """The objects last answered by each server, as far as this host saw.
 
-    >>> familiar = FamiliarObjects()
+    >>> familiar = RecentObjects()
     >>> familiar.note('s1', '7')
-    >>> familiar.is_familiar('s1', '7'), familiar.is_familiar('s1', '8')
+    >>> familiar.is_recent('s1', '7'), familiar.is_recent('s1', '8')
     (True, False)
     """
 
@@ -29,7 +29,7 @@
         if len(kept) > _KEPT_PER_SERVER:
             kept.popitem(last=False)
 
-    def is_familiar(self, server: str, key: str) -> bool:
+    def is_recent(self, server: str, key: str) -> bool:
         """Tell whether a server handled an object lately."""
         return key in self._by_server.get(server, ())
 
--- a/crocusshunt/placement/_health.py
+++ b/crocusshunt/placement/_health.py
@@ -48,10 +48,10 @@
 
 
 @dataclass(slots=True)
-class HealthBook:
+class HealthTracker:
     """Health of all servers, by name.
 
-    >>> book = HealthBook(HealthSettings())
+    >>> book = HealthTracker(HealthSettings())
     >>> book.note_failure('s1', ServerFailure.unreachable, now=0)
     True
     >>> book.is_ejected('s1', now=0.4), book.is_ejected('s1', now=0.6)
--- a/crocusshunt/placement/_loads.py
+++ b/crocusshunt/placement/_loads.py
@@ -53,7 +53,7 @@
         self._others = max(0, self.reported - self.in_flight)
         self._reported_at = now
 
-    def note_peer(self, total: int, now: float) -> None:
+    def note_peer_report(self, total: int, now: float) -> None:
         """Take what another host lately read of the server's load.
 
         It may be a heartbeat interval old, so a newer report of its own tells
--- a/crocusshunt/placement/_locality.py
+++ b/crocusshunt/placement/_locality.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RegionRoom:
+class RegionLoad:
     """Slots of a pool in a region, and slots that its callers keep busy."""
 
     slots: float
@@ -42,7 +42,7 @@
 
 def plan_locality(
     region: str,
-    rooms: Mapping[str, RegionRoom],
+    rooms: Mapping[str, RegionLoad],
 ) -> Locality:
     """Return how a region's objects are divided.
 
@@ -50,7 +50,7 @@
     the utilization of all regions together where that is higher. What does
     not fit goes to regions that have room left by the same measure.
 
-    >>> rooms = {'a': RegionRoom(10, 13), 'b': RegionRoom(30, 7)}
+    >>> rooms = {'a': RegionLoad(10, 13), 'b': RegionLoad(30, 7)}
     >>> plan_locality('a', rooms).local_share
     0.38461538461538464
     """
@@ -63,7 +63,7 @@
         for name, room in rooms.items()
         if name != region
     }
-    own = rooms.get(region, RegionRoom(0, 0))
+    own = rooms.get(region, RegionLoad(0, 0))
     if own.slots <= 0:
         return Locality(0, spare)
     if own.demand <= usable * own.slots:
@@ -71,7 +71,9 @@
     return Locality(usable * own.slots / own.demand, spare)
 
 
-def adjust_relief(relief: float, crowded: float, elsewhere: float) -> float:
+def adjust_local_factor(
+    relief: float, crowded: float, elsewhere: float
+) -> float:
     """Return the part of a region's local share that its servers can take.
 
     The plan counts busy slots and takes all servers for equally fast and
@@ -83,9 +85,11 @@
     :param crowded: share of the region's servers without a free slot.
     :param elsewhere: the same of all other regions.
 
-    >>> adjust_relief(1, 0.5, elsewhere=0), adjust_relief(0.5, 0, elsewhere=0)
-    (0.95, 0.52)
-    >>> adjust_relief(0.5, 0.5, elsewhere=0.5)
+    >>> adjust_local_factor(1, 0.5, elsewhere=0)
+    0.95
+    >>> adjust_local_factor(0.5, 0, elsewhere=0)
+    0.52
+    >>> adjust_local_factor(0.5, 0.5, elsewhere=0.5)
     0.5
     """
     if crowded >= _CROWDED and elsewhere <= _ROOMY:
--- a/crocusshunt/placement/_times.py
+++ b/crocusshunt/placement/_times.py
@@ -41,10 +41,10 @@
     A pace of 2 means that a server takes twice the usual time.
 
     >>> times = ServiceTimes()
-    >>> times.expect_service('r', 1, 's1')
+    >>> times.estimate_service_time('r', 1, 's1')
     0.45
     >>> times.note(Timing('r', 1, 'p', 's1', took_s=0.2, load=0, slots=4))
-    >>> round(times.expect_service('r', 1, 's2'), 2)
+    >>> round(times.estimate_service_time('r', 1, 's2'), 2)
     0.42
     """
 
@@ -52,7 +52,7 @@
     _pools: dict[str, float] = field(default_factory=dict)
     _paces: dict[str, float] = field(default_factory=dict)
 
-    def expect_service(
+    def estimate_service_time(
         self,
         route: str,
         objective_s: float,
@@ -62,7 +62,9 @@
         usual_s = self._routes.get(route, _GUESS * objective_s)
         return usual_s * self._paces.get(server, 1)
 
-    def expect_turn(self, pool: str, objective_s: float, server: str) -> float:
+    def estimate_slot_release(
+        self, pool: str, objective_s: float, server: str
+    ) -> float:
         """Return the expected time until a busy slot is free, in seconds."""
         usual_s = self._pools.get(pool, _GUESS * objective_s)
         return usual_s * self._paces.get(server, 1)
--- a/crocusshunt/placement/tests/test_overload.py
+++ b/crocusshunt/placement/tests/test_overload.py
@@ -14,15 +14,15 @@
 import pytest
 
 from crocusshunt.placement import (
+    Candidate,
     ChoiceSettings,
     LoadReport,
     Locality,
-    Need,
-    Ranked,
-    RegionRoom,
-    ServerBook,
+    RegionLoad,
+    RequestConstraints,
     ServerEntry,
     ServerLoad,
+    ServerRegistry,
     ServiceTimes,
     Timing,
     choose_server,
@@ -75,7 +75,7 @@
     ) -> None:
         """Replay Poisson arrivals for 72 objects at 12 servers."""
         source = random.Random(7)
-        book = ServerBook({'a1': 'a'})
+        book = ServerRegistry({'a1': 'a'})
         for number in range(12):
             name = f's{number}'
             book.put(ServerEntry(name, 'p', f'10.0.0.{number}:1', 'a1', 5), 0)
@@ -103,16 +103,16 @@
             kind = 'urgent' if is_urgent else 'other'
             ranked = rank_servers(key, book.select('p'), 'a', Locality())
             replicas = [
-                Ranked(
+                Candidate(
                     one.entry.name,
                     5,
                     loads[one.entry.name].estimate(now),
-                    times.expect_service('r', 0.6, one.entry.name),
-                    times.expect_turn('p', 0.6, one.entry.name),
+                    times.estimate_service_time('r', 0.6, one.entry.name),
+                    times.estimate_slot_release('p', 0.6, one.entry.name),
                 )
                 for one in islice(ranked, self.settings.replicas)
             ]
-            need = Need(self.objective_s, _TIMEOUT_S, is_urgent)
+            need = RequestConstraints(self.objective_s, _TIMEOUT_S, is_urgent)
             choice = choose_server(need, replicas, self.settings)
             if choice.index is None:
                 self.outcomes[f'{kind} refused'] += 1
@@ -177,9 +177,9 @@
 
 def test_region_without_room_sends_part_of_its_objects_away() -> None:
     rooms = {
-        'addis': RegionRoom(10, 20),
-        'dire': RegionRoom(20, 13),
-        'bahir': RegionRoom(30, 7),
+        'addis': RegionLoad(10, 20),
+        'dire': RegionLoad(20, 13),
+        'bahir': RegionLoad(30, 7),
     }
     plan = plan_locality('addis', rooms)
     assert plan.local_share == pytest.approx(0.333, abs=0.01)
@@ -188,8 +188,8 @@
     assert plan_locality('bahir', rooms).local_share == 1
 
 
-def _create_two_regions() -> ServerBook:
-    book = ServerBook({'a1': 'a', 'b1': 'b'})
+def _create_two_regions() -> ServerRegistry:
+    book = ServerRegistry({'a1': 'a', 'b1': 'b'})
     for number in range(12):
         domain = 'a1' if number % 2 else 'b1'
         entry = ServerEntry(f's{number}', 'p', f'10.0.0.{number}:1', domain, 5)
@@ -237,8 +237,12 @@
 
 def test_free_slot_is_used_however_long_requests_usually_take() -> None:
     """Callers with little time were turned away beside idle servers."""
-    idle = Ranked('s1', 6, 0, service_s=0.45, turn_s=0.45, is_familiar=False)
-    need = Need(objective_left_s=0.8, time_left_s=0.8, is_urgent=False)
+    idle = Candidate(
+        's1', 6, 0, service_s=0.45, slot_release_s=0.45, has_recent_object=False
+    )
+    need = RequestConstraints(
+        objective_left_s=0.8, time_left_s=0.8, is_urgent=False
+    )
     assert choose_server(need, (idle,), ChoiceSettings()).index == 0
 
 
@@ -246,7 +250,7 @@
     """Heartbeats are up to a second old; they hid that servers had room."""
     load = ServerLoad()
     load.note_report(LoadReport(1, 0, 5), now=10)
-    load.note_peer(20, now=10.5)
+    load.note_peer_report(20, now=10.5)
     assert load.estimate(now=10.5) < 5
-    load.note_peer(20, now=12)
+    load.note_peer_report(20, now=12)
     assert load.estimate(now=12) == 20
--- a/crocusshunt/platform/__init__.py
+++ b/crocusshunt/platform/__init__.py
@@ -1,7 +1,7 @@
 """The users' platform: its names, formats and calls."""
 
 from crocusshunt.platform._configuration import decode_catalog
-from crocusshunt.platform._names import SOURCE
+from crocusshunt.platform._names import SOURCE_FORMAT
 from crocusshunt.platform._rows import RowStoreClient
 from crocusshunt.platform._servers import decode_server
 from crocusshunt.platform._settings import (
@@ -11,7 +11,7 @@
 
 __all__ = (
     'SETTINGS_VARIABLE',
-    'SOURCE',
+    'SOURCE_FORMAT',
     'RowStoreClient',
     'decode_catalog',
     'decode_server',
--- a/crocusshunt/platform/_configuration.py
+++ b/crocusshunt/platform/_configuration.py
@@ -116,7 +116,7 @@
         max_attempts=spec.max_attempts,
         is_public=spec.public,
         is_sticky=spec.sticky,
-        homes=frozenset(spec.home_regions or ()),
+        home_regions=frozenset(spec.home_regions or ()),
     )
 
 
@@ -144,7 +144,7 @@
         priority=spec.priority,
         rate=spec.rate_per_s or 0,
         burst=spec.burst or 0,
-        homes=frozenset(spec.home_regions or ()),
+        home_regions=frozenset(spec.home_regions or ()),
     )
 
 
--- a/crocusshunt/platform/_names.py
+++ b/crocusshunt/platform/_names.py
@@ -19,7 +19,7 @@
     key_scheme='Token ',
 )
 
-SOURCE = SourceFormat(
+SOURCE_FORMAT = SourceFormat(
     # The operator's table holds the configuration and emptied zones.
     tables=TableNames(configuration='op', servers='servers', hosts='hosts'),
     headers=_HEADERS,
--- a/crocusshunt/platform/tests/test_decoding.py
+++ b/crocusshunt/platform/tests/test_decoding.py
@@ -89,7 +89,10 @@
     assert route is not None
     assert catalog.version == 31
     assert route.targets == (Target('s1', 90), Target('s2'))
-    assert (route.is_idempotent, route.homes) == (True, frozenset(('dire',)))
+    assert (route.is_idempotent, route.home_regions) == (
+        True,
+        frozenset(('dire',)),
+    )
     assert index.find_pool('s1').cold_rate == pytest.approx(4.2)
     customer = index.find_customer('key-1')
     assert customer is not None
--- a/crocusshunt/programs/host.py
+++ b/crocusshunt/programs/host.py
@@ -24,7 +24,7 @@
 from crocusshunt.logs import LineSink, start_logging
 from crocusshunt.platform import (
     SETTINGS_VARIABLE,
-    SOURCE,
+    SOURCE_FORMAT,
     RowStoreClient,
     read_front_settings,
 )
@@ -46,7 +46,7 @@
     store = RowStoreClient(found.store_address)
     service = FrontService(
         found,
-        SOURCE,
+        SOURCE_FORMAT,
         store,
         partial(read_front_settings, path),
         SystemClock(),
--- a/crocusshunt/sharing/__init__.py
+++ b/crocusshunt/sharing/__init__.py
@@ -2,20 +2,20 @@
 
 from crocusshunt.sharing._buckets import CustomerLimiter, Grant, TokenBucket
 from crocusshunt.sharing._demand import DemandMeter
-from crocusshunt.sharing._keepers import CustomerPart, choose_keeper
+from crocusshunt.sharing._keepers import CustomerShare, choose_keeper
 from crocusshunt.sharing._retries import RetryLimit, RetryLimiter
 from crocusshunt.sharing._shares import GroupDemand, divide_rate
-from crocusshunt.sharing._spacing import SpacedLimiter
+from crocusshunt.sharing._spacing import MinIntervalLimiter
 
 __all__ = (
     'CustomerLimiter',
-    'CustomerPart',
+    'CustomerShare',
     'DemandMeter',
     'Grant',
     'GroupDemand',
+    'MinIntervalLimiter',
     'RetryLimit',
     'RetryLimiter',
-    'SpacedLimiter',
     'TokenBucket',
     'choose_keeper',
     'divide_rate',
--- a/crocusshunt/sharing/_buckets.py
+++ b/crocusshunt/sharing/_buckets.py
@@ -22,7 +22,7 @@
 class TokenBucket:
     """Tokens that refill at a rate up to a capacity; starts without any.
 
-    :param is_pressed: whether more is asked of all hosts than the rate.
+    :param is_over_rate: whether more is asked of all hosts than the rate.
 
     >>> bucket = TokenBucket(rate=2, capacity=4, filled_at=0)
     >>> bucket.take(now=0)
@@ -35,7 +35,7 @@
     capacity: float
     filled_at: float
     tokens: float = 0
-    is_pressed: bool = False
+    is_over_rate: bool = False
 
     def resize(self, rate: float, capacity: float, now: float) -> None:
         """Change the size; a larger bucket is not fuller at once."""
@@ -55,7 +55,7 @@
         :param patience_s: longest wait for a token, in seconds.
         """
         self._fill(now)
-        if self.is_pressed:
+        if self.is_over_rate:
             patience_s = 0
         missing = max(0, 1 - self.tokens)
         wait_s = missing / max(_LEAST_RATE, self.rate)
@@ -103,11 +103,11 @@
         else:
             bucket.resize(rate, burst, now)
 
-    def press(self, name: str, *, is_pressed: bool) -> None:
+    def set_over_rate(self, name: str, *, is_over_rate: bool) -> None:
         """Note whether a customer asks for more than its rate."""
         bucket = self._buckets.get(name)
         if bucket is not None:
-            bucket.is_pressed = is_pressed
+            bucket.is_over_rate = is_over_rate
 
     def release(self, name: str) -> None:
         """Stop limiting a customer."""
--- a/crocusshunt/sharing/_keepers.py
+++ b/crocusshunt/sharing/_keepers.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CustomerPart:
+class CustomerShare:
     """What a host may admit of a customer's rate.
 
     :param keeper: the host that keeps the tokens of the whole region, empty
--- a/crocusshunt/sharing/_spacing.py
+++ b/crocusshunt/sharing/_spacing.py
@@ -4,10 +4,10 @@
 
 
 @dataclass(slots=True)
-class SpacedLimiter:
+class MinIntervalLimiter:
     """Lets events of one name through at least a time apart.
 
-    >>> limiter = SpacedLimiter()
+    >>> limiter = MinIntervalLimiter()
     >>> limiter.take('s1', 0.5, now=0), limiter.take('s1', 0.5, now=0.2)
     (True, False)
     """
--- a/crocusshunt/sharing/tests/test_shares.py
+++ b/crocusshunt/sharing/tests/test_shares.py
@@ -96,7 +96,7 @@
 def test_hot_customer_gets_its_whole_rate_and_no_request_waits() -> None:
     limiter = CustomerLimiter()
     limiter.resize('court', rate=10, burst=1, now=0)
-    limiter.press('court', is_pressed=True)
+    limiter.set_over_rate('court', is_over_rate=True)
     grants = [
         limiter.take('court', turn / 100, patience_s=1) for turn in range(1000)
     ]
--- a/crocusshunt/soak/_callers.py
+++ b/crocusshunt/soak/_callers.py
@@ -7,12 +7,12 @@
 
 from aiohttp import ClientError, ClientSession, ClientTimeout, TCPConnector
 
-from crocusshunt.platform import SOURCE
+from crocusshunt.platform import SOURCE_FORMAT
 from crocusshunt.soak._processes import HostProcess
 from crocusshunt.soak._records import Call, Ending, Records
 from crocusshunt.soak._servers import write_answer
 
-_NAMES = SOURCE.headers
+_NAMES = SOURCE_FORMAT.headers
 _PATIENCE_S = 3
 _STATUS_OK = 200
 _PROMISES = frozenset((408, 421, 429, 503))
--- a/crocusshunt/soak/_servers.py
+++ b/crocusshunt/soak/_servers.py
@@ -9,12 +9,12 @@
 
 from aiohttp import web
 
-from crocusshunt.platform import SOURCE
+from crocusshunt.platform import SOURCE_FORMAT
 from crocusshunt.soak._proxy import Proxy
 from crocusshunt.soak._records import Run
 from crocusshunt.standin import LOOPBACK
 
-_NAMES = SOURCE.headers
+_NAMES = SOURCE_FORMAT.headers
 _SLOTS = 4
 _QUEUE = 4
 _MEAN_WORK_S = 0.03
