--- a/crocusshunt/gateway/__init__.py
+++ b/crocusshunt/gateway/__init__.py
@@ -1,12 +1,12 @@
-"""Service that admits callers' requests and forwards them."""
+"""HTTP gateway that admits callers' requests and forwards them."""
 
-from crocusshunt.gateway._exposure import MetricsService
-from crocusshunt.gateway._limits import Limiter
-from crocusshunt.gateway._refusals import (
+from crocusshunt.gateway._limit_errors import (
     LimitUnavailableError,
     RateExceededError,
     format_limit_headers,
 )
+from crocusshunt.gateway._limits import Limiter
+from crocusshunt.gateway._metrics_service import MetricsService
 from crocusshunt.gateway._service import GatewayService
 from crocusshunt.gateway._settings import (
     DeliveryPolicy,
--- a/crocusshunt/gateway/_admission.py
+++ b/crocusshunt/gateway/_admission.py
@@ -1,4 +1,4 @@
-"""Whether a request may run: route, key, rate and burst."""
+"""Admission of requests by route and API key."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -26,10 +26,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """What a request shows before it is admitted.
+class AdmissionRequest:
+    """Properties of a request that decide on its admission.
 
-    :param keys: every different key that it carries.
+    :param client: IP address of the caller.
+    :param keys: the distinct API keys that the request carries.
     """
 
     host: str
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """A request's route and customer.
+    """Route and customer of an admitted request.
 
     :param customer: name of the customer, empty on routes open to all.
     """
@@ -51,10 +52,20 @@
 
 
 class AdmissionControl:
-    """Finds routes and checks keys against the configuration in force."""
+    """Finds routes and checks keys against the configuration in force.
+
+    A key is accepted only while this host has recent evidence that its
+    configuration is current; otherwise a withdrawn key could still pass.
+    Keys and servers named in a change that is not yet in force are
+    suspended.
+    """
 
     def __init__(self, feed: Feed, key_evidence_s: float) -> None:
-        """Follow a feed."""
+        """Follow a configuration feed.
+
+        :param key_evidence_s: greatest age of the evidence under which keys
+            are accepted, in seconds.
+        """
         self._feed = feed
         self._key_evidence_s = key_evidence_s
         self._keyring = Keyring(())
@@ -64,42 +75,46 @@
 
     @property
     def servers(self) -> Mapping[str, tuple[Server, ...]]:
-        """Return backend servers by pool, without those that may be leaving."""
-        leaving = self._feed.find_suspension(self._key_evidence_s).servers
-        if not leaving:
+        """Return backend servers by pool.
+
+        Drained servers, and those that a pending change names, are left
+        out.
+        """
+        suspended = self._feed.find_suspension(self._key_evidence_s).servers
+        if not suspended:
             return self._servers
         return {
-            pool: tuple(one for one in servers if one.name not in leaving)
+            pool: tuple(one for one in servers if one.name not in suspended)
             for pool, servers in self._servers.items()
         }
 
-    def admit(self, ask: Ask) -> Result[Admission, NotRun]:
-        """Return the route and customer of a request, or why not."""
+    def admit(self, request: AdmissionRequest) -> Result[Admission, NotRun]:
+        """Return the route and customer of a request, or a refusal."""
         if not self._feed.configuration.revision:
-            return Err(_refuse_unloaded())
-        key = self._authenticate(ask)
+            return Err(_refuse_unconfigured())
+        key = self._authenticate(request)
         customer = key.ok_value.customer if isinstance(key, Ok) else ''
         route = self._matcher.find(
             RequestAttributes(
-                host=ask.host,
-                path=ask.path,
-                method=ask.method,
+                host=request.host,
+                path=request.path,
+                method=request.method,
                 customer=customer,
-                client=ask.client,
+                client=request.client,
             ),
         )
         if route is None:
-            return Err(_refuse_unmatched(key))
+            return Err(_refuse_unrouted(key))
         if route.access is Access.open:
             return Ok(Admission(route, ''))
         if isinstance(key, Err):
             return key
         return Ok(Admission(route, customer))
 
-    def _authenticate(self, ask: Ask) -> Result[Key, NotRun]:
-        if len(ask.keys) > 1:
+    def _authenticate(self, request: AdmissionRequest) -> Result[Key, NotRun]:
+        if len(request.keys) > 1:
             return Err(_refuse_key('key-ambiguous'))
-        presented = next(iter(ask.keys), '')
+        presented = next(iter(request.keys), '')
         if not presented:
             return Err(_refuse_key(MissingKeyError.code))
         if self._feed.measure_age() > self._key_evidence_s:
@@ -127,7 +142,7 @@
             NotRun(
                 'key-suspended',
                 _STATUS_UNAVAILABLE,
-                'a change of this key is being accepted; ask again',
+                'a change to this key is being applied; try again',
                 _EVIDENCE_RETRY_S,
             ),
         )
@@ -140,16 +155,18 @@
         drained = DrainIndex(tables.select(Drain))
         for server in tables.select(Server):
             if not drained.is_server_draining(server):
-                held = servers.get(server.pool, ())
-                servers[server.pool] = (*held, server)
+                pool_servers = servers.get(server.pool, ())
+                servers[server.pool] = (*pool_servers, server)
         self._servers = servers
 
 
 def _refuse_key(code: str) -> NotRun:
-    return NotRun(code, _STATUS_UNAUTHORIZED, 'the key is not honoured')
+    return NotRun(
+        code, _STATUS_UNAUTHORIZED, 'the API key is missing or not accepted'
+    )
 
 
-def _refuse_unloaded() -> NotRun:
+def _refuse_unconfigured() -> NotRun:
     return NotRun(
         'configuration-missing',
         _STATUS_UNAVAILABLE,
@@ -158,7 +175,7 @@
     )
 
 
-def _refuse_unmatched(key: Result[Key, NotRun]) -> NotRun:
+def _refuse_unrouted(key: Result[Key, NotRun]) -> NotRun:
     is_keyless = (
         isinstance(key, Err) and key.err_value.code == MissingKeyError.code
     )
--- a/crocusshunt/gateway/_assembly.py
+++ b/crocusshunt/gateway/_assembly.py
@@ -1,4 +1,4 @@
-"""Assembly of the parts that find room and send."""
+"""Assembly of the dispatcher and its collaborators."""
 
 import random
 from dataclasses import dataclass
@@ -12,10 +12,10 @@
 )
 from crocusshunt.gateway._admission import AdmissionControl
 from crocusshunt.gateway._dispatch import Dispatcher, DispatchParts
-from crocusshunt.gateway._picking import ServerPicker, ServerState
-from crocusshunt.gateway._rooms import Rooms
+from crocusshunt.gateway._picking import ServerPicker, ServerStatistics
 from crocusshunt.gateway._settings import DeliveryPolicy
 from crocusshunt.gateway._shares import RegionSplit
+from crocusshunt.gateway._slots import SlotAllocator
 from crocusshunt.gateway._suspects import SuspectRegistry
 from crocusshunt.replication import Feed
 
@@ -25,6 +25,7 @@
     """What the dispatcher needs from the rest of the gateway.
 
     :param region: region of this host.
+    :param source: randomness for the choice of servers.
     """
 
     region: str
@@ -41,22 +42,24 @@
     policy: DeliveryPolicy,
 ) -> Dispatcher:
     """Return a dispatcher that follows the configuration in force."""
-    state = ServerState(ServerLoads(), OutlierDetector(policy.ejection))
+    statistics = ServerStatistics(
+        ServerLoads(), OutlierDetector(policy.ejection)
+    )
     split = RegionSplit(context.region)
-    context.feed.listen(split.follow)
+    context.feed.listen(split.apply_configuration)
     picker = ServerPicker(
         context.admission_control,
-        state,
+        statistics,
         context.clock,
         context.source,
         split,
     )
     parts = DispatchParts(
-        Rooms(picker, context.clock, policy.queue),
-        state,
+        SlotAllocator(picker, context.clock, policy.queue),
+        statistics,
         context.forwarder,
         context.suspects,
         retries=RetryBudget(policy.retries),
-        sheds=RetryBudget(policy.sheds),
+        shed_retries=RetryBudget(policy.shed_retries),
     )
     return Dispatcher(parts, context.clock)
--- a/crocusshunt/gateway/_bodies.py
+++ b/crocusshunt/gateway/_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests: kept whole while small, else streamed once."""
+"""Request bodies: small ones are buffered, large ones streamed once."""
 
 from collections.abc import AsyncIterator
 from dataclasses import dataclass, field
@@ -9,101 +9,105 @@
 from result import Err, Ok, Result
 
 from crocusshunt.delivery import NotRun
-from crocusshunt.gateway._inspection import expects_continue
+from crocusshunt.gateway._inspection import is_continue_expected
 
-_KEPT_BYTES = 65_536
+_MAX_BUFFERED_BYTES = 65_536
 _MAX_CLAIMED_BYTES = 4_194_304
 _STATUS_BAD_REQUEST = 400
 _STATUS_TOO_LARGE = 413
-_LEAVE_TO_SEND = b'HTTP/1.1 100 Continue\r\n\r\n'
+_CONTINUE_RESPONSE = b'HTTP/1.1 100 Continue\r\n\r\n'
 
 
 @dataclass(slots=True)
 class Body:
     """A request's body.
 
-    :param kept: the whole body, None where it is streamed.
-    :param is_started: whether a streamed body was read from; it cannot be
-        sent again then.
+    :param buffered: the whole body, None if it is streamed.
+    :param is_started: whether reading of a streamed body began; it cannot
+        be sent again then.
     """
 
     request: web.Request
-    kept: bytes | None = None
+    buffered: bytes | None = None
     is_started: bool = field(default=False, init=False)
-    _digest: Any = field(default_factory=blake2b, init=False)
+    _hash: Any = field(default_factory=blake2b, init=False)
 
     @property
     def is_resendable(self) -> bool:
-        """Tell whether another attempt can still send the whole body."""
-        return self.kept is not None or not self.is_started
+        """Tell whether another attempt can send the whole body."""
+        return self.buffered is not None or not self.is_started
 
     def open(self) -> AsyncIterator[bytes] | bytes | None:
-        """Return the body for one attempt, None where there is none."""
-        if self.kept is None:
+        """Return the body for one attempt, None if it is empty."""
+        if self.buffered is None:
             return self._stream()
-        return self.kept or None
+        return self.buffered or None
 
-    def digest(self) -> bytes:
-        """Return a digest of what is known of the body."""
-        if self.kept is not None:
-            return blake2b(self.kept).digest()
-        known: bytes = self._digest.digest()
-        return known
+    def compute_digest(self) -> bytes:
+        """Return the digest of the body, or of the part streamed so far."""
+        if self.buffered is not None:
+            return blake2b(self.buffered).digest()
+        streamed_digest: bytes = self._hash.digest()
+        return streamed_digest
 
     async def _stream(self) -> AsyncIterator[bytes]:
         self.is_started = True
-        await _give_leave(self.request)
+        await _send_continue(self.request)
         async for chunk in self.request.content.iter_any():
-            self._digest.update(chunk)
+            self._hash.update(chunk)
             yield chunk
 
 
-async def take_body(
+async def read_body(
     request: web.Request,
     *,
-    is_claimed: bool,
+    is_digest_needed: bool,
 ) -> Result[Body, NotRun]:
-    """Keep a small or claimed body, leave a large one to be streamed.
+    """Buffer a body if it is small or its digest is needed.
 
-    :param is_claimed: whether the body's digest is needed before dispatch.
+    Other bodies are left to be streamed. A body that must be buffered and
+    is larger than 4 MiB is refused.
+
+    :param is_digest_needed: whether the body's digest is needed before
+        dispatch, for an idempotency key or a quarantine check.
     """
     if not request.can_read_body:
         return Ok(Body(request, b''))
     length = request.content_length
-    is_small = length is not None and length <= _KEPT_BYTES
-    if not is_small and not is_claimed:
+    is_small = length is not None and length <= _MAX_BUFFERED_BYTES
+    if not is_small and not is_digest_needed:
         return Ok(Body(request))
     if length is not None and length > _MAX_CLAIMED_BYTES:
-        return Err(_refuse_size())
-    await _give_leave(request)
-    return await _read(request)
+        return Err(_refuse_too_large())
+    await _send_continue(request)
+    return await _buffer_body(request)
 
 
-async def _read(request: web.Request) -> Result[Body, NotRun]:
-    kept = bytearray()
+async def _buffer_body(request: web.Request) -> Result[Body, NotRun]:
+    buffered = bytearray()
     try:
         async for chunk in request.content.iter_any():
-            kept += chunk
-            if len(kept) > _MAX_CLAIMED_BYTES:
-                return Err(_refuse_size())
+            buffered += chunk
+            if len(buffered) > _MAX_CLAIMED_BYTES:
+                return Err(_refuse_too_large())
     except web.RequestPayloadError:
         return Err(
             NotRun(
                 'body-broken',
                 _STATUS_BAD_REQUEST,
-                'the body ended before its announced end',
+                'the body ended before it was complete',
             ),
         )
-    return Ok(Body(request, bytes(kept)))
+    return Ok(Body(request, bytes(buffered)))
 
 
-async def _give_leave(request: web.Request) -> None:
-    if expects_continue(request):
-        await request.writer.write(_LEAVE_TO_SEND)
+async def _send_continue(request: web.Request) -> None:
+    if is_continue_expected(request):
+        await request.writer.write(_CONTINUE_RESPONSE)
         request.writer.output_size = 0
 
 
-def _refuse_size() -> NotRun:
+def _refuse_too_large() -> NotRun:
     return NotRun(
         'body-too-large',
         _STATUS_TOO_LARGE,
--- a/crocusshunt/gateway/_claiming.py
+++ b/crocusshunt/gateway/_claiming.py
@@ -1,4 +1,7 @@
-"""Claims of non-idempotent requests in the table service."""
+"""Claims of idempotency keys in the table service.
+
+A claim keeps a non-idempotent request from running twice.
+"""
 
 import asyncio
 import logging
@@ -35,23 +38,24 @@
 CLAIM_TABLE = 'claim'
 CLAIM_LIFETIME_S = 86_400
 
-_TRIES = 4
-_GRACE_S = 5
+_MAX_TRIES = 4
+# Time after the deadline until which a claim counts as in progress, in s.
+_END_GRACE_S = 5
 _WITHDRAW_PAUSES_S = (1, 5, 15, 60)
 _DIGEST_BYTES = 32
 _RETRY_S = 2
 _STATUS_UNAVAILABLE = 503
 
-Refusal = NotRun | UnknownOutcome | RecordedAnswer | AnsweredBefore
+ClaimRefusal = NotRun | UnknownOutcome | RecordedAnswer | AnsweredBefore
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """What is claimed.
+    """Request whose idempotency key is to be claimed.
 
-    :param fingerprint: digest of the request.
+    :param fingerprint: digest of the request's method, target and body.
     :param attempt: identifier of the caller's request.
-    :param deadline: monotonic time by which the request ends.
+    :param deadline: monotonic time by which the request ends, in seconds.
     """
 
     customer: str
@@ -65,6 +69,7 @@
 class HeldClaim:
     """A claim that this process holds.
 
+    :param row_key: key of its row in the table of claims.
     :param version: version of its row.
     """
 
@@ -74,24 +79,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Again:
-    """Insert once more.
+class _RetryInsert:
+    """The insert must be repeated.
 
-    :param version: version that the row is expected to have.
+    :param version: version that the row is expected to have then.
     """
 
     version: int
 
 
 class ClaimLedger:
-    """Inserts claims before dispatch and records what became of them."""
+    """Inserts claims before dispatch and records the outcomes."""
 
     def __init__(
         self, store: TableStore, clock: Clock, owner: Claimant
     ) -> None:
-        """Use a table service.
+        """Store claims in a table service.
 
-        :param owner: this host and process; its attempt is replaced.
+        :param owner: this host and process; each claim replaces its attempt
+            by the identifier of the request.
         """
         self._store = store
         self._clock = clock
@@ -100,20 +106,22 @@
     async def claim(
         self,
         request: ClaimRequest,
-    ) -> Result[HeldClaim, Refusal]:
-        """Insert a claim, or say what the one found there means.
+    ) -> Result[HeldClaim, ClaimRefusal]:
+        """Insert a claim, or return what an earlier claim of the key means.
 
         An insert whose answer was lost is repeated: if it took effect, the
-        row conflicts, is read, and is recognised by its claimant.
+        repeat conflicts, and the row read then shows this claimant.
         """
-        wanted = HeldClaim(_name_row(request), self._create(request), ABSENT)
-        for _ in range(_TRIES):
+        proposed = HeldClaim(
+            _create_row_key(request), self._create_claim(request), ABSENT
+        )
+        for _ in range(_MAX_TRIES):
             if self._clock.monotonic() >= request.deadline:
                 break
-            step = await self._insert(wanted)
-            if not isinstance(step, _Again):
-                return step
-            wanted = replace(wanted, version=step.version)
+            inserted = await self._insert(proposed)
+            if not isinstance(inserted, _RetryInsert):
+                return inserted
+            proposed = replace(proposed, version=inserted.version)
         return Err(_refuse_unavailable())
 
     async def record(
@@ -122,19 +130,21 @@
         state: ClaimState,
         answer: RecordedAnswer | None = None,
     ) -> None:
-        """Write down what became of a claimed request.
+        """Record the outcome of a claimed request.
 
         A claim is never deleted: a delayed repeat of the deletion could
         remove a later claim of the same key.
         """
-        ended = msgspec.structs.replace(held.claim, state=state, answer=answer)
-        following = HeldClaim(held.row_key, ended, held.version + 1)
-        for _ in range(_TRIES):
-            written = await self._write(following, held.version)
+        finished_claim = msgspec.structs.replace(
+            held.claim, state=state, answer=answer
+        )
+        updated = HeldClaim(held.row_key, finished_claim, held.version + 1)
+        for _ in range(_MAX_TRIES):
+            written = await self._write(updated, held.version)
             if isinstance(written, Ok):
                 return
             if isinstance(written.err_value, StoreConflictError):
-                # An earlier try took effect; nobody else writes this row.
+                # An earlier try took effect; only the holder writes this row.
                 return
         log_event(
             'outcome of a claimed request not recorded',
@@ -144,44 +154,48 @@
         )
 
     async def withdraw(self, request: ClaimRequest) -> None:
-        """Release a claim whose insert may have taken effect unseen."""
-        row_key = _name_row(request)
+        """Release a claim whose insert may have taken effect unconfirmed.
+
+        The row is read several times, after growing pauses, since a
+        delayed insert may take effect later.
+        """
+        row_key = _create_row_key(request)
         for pause_s in _WITHDRAW_PAUSES_S:
             await asyncio.sleep(pause_s)
             read = await self._store.read(CLAIM_TABLE, row_key)
             if isinstance(read, Err) or read.ok_value is None:
                 continue
             found = msgspec.json.decode(read.ok_value.body, type=Claim)
-            if found.claimant == self._name_claimant(request):
+            if found.claimant == self._create_claimant(request):
                 held = HeldClaim(row_key, found, read.ok_value.version)
                 await self.record(held, ClaimState.released)
             return
 
-    def _name_claimant(self, request: ClaimRequest) -> Claimant:
+    def _create_claimant(self, request: ClaimRequest) -> Claimant:
         return msgspec.structs.replace(self._owner, attempt=request.attempt)
 
-    def _create(self, request: ClaimRequest) -> Claim:
+    def _create_claim(self, request: ClaimRequest) -> Claim:
         now = self._clock.wall()
         remaining = request.deadline - self._clock.monotonic()
         return Claim(
-            self._name_claimant(request),
+            self._create_claimant(request),
             request.fingerprint,
-            ends_at=now + remaining + _GRACE_S,
+            ends_at=now + remaining + _END_GRACE_S,
             expires_at=now + CLAIM_LIFETIME_S,
         )
 
     async def _insert(
         self,
-        wanted: HeldClaim,
-    ) -> Result[HeldClaim, Refusal] | _Again:
-        written = await self._write(wanted, wanted.version)
+        proposed: HeldClaim,
+    ) -> Result[HeldClaim, ClaimRefusal] | _RetryInsert:
+        written = await self._write(proposed, proposed.version)
         if isinstance(written, Ok):
-            return Ok(replace(wanted, version=wanted.version + 1))
+            return Ok(replace(proposed, version=proposed.version + 1))
         if isinstance(written.err_value, StoreConflictError):
-            return await self._examine(wanted)
+            return await self._resolve_conflict(proposed)
         if isinstance(written.err_value, StoreUnavailableError):
             return Err(_refuse_unavailable())
-        return _Again(wanted.version)
+        return _RetryInsert(proposed.version)
 
     async def _write(
         self,
@@ -192,33 +206,33 @@
         write = Write(CLAIM_TABLE, held.row_key, body, expected)
         return await self._store.transact((write,))
 
-    async def _examine(
+    async def _resolve_conflict(
         self,
-        wanted: HeldClaim,
-    ) -> Result[HeldClaim, Refusal] | _Again:
-        read = await self._store.read(CLAIM_TABLE, wanted.row_key)
+        proposed: HeldClaim,
+    ) -> Result[HeldClaim, ClaimRefusal] | _RetryInsert:
+        read = await self._store.read(CLAIM_TABLE, proposed.row_key)
         if isinstance(read, Err):
             return Err(_refuse_unavailable())
         row = read.ok_value
         if row is None:
-            return _Again(ABSENT)
-        return self._judge(wanted, row)
+            return _RetryInsert(ABSENT)
+        return self._evaluate_row(proposed, row)
 
-    def _judge(
+    def _evaluate_row(
         self,
-        wanted: HeldClaim,
+        proposed: HeldClaim,
         row: StoredRow,
-    ) -> Result[HeldClaim, Refusal] | _Again:
+    ) -> Result[HeldClaim, ClaimRefusal] | _RetryInsert:
         found = msgspec.json.decode(row.body, type=Claim)
-        verdict = evaluate_claim(found, wanted.claim, self._clock.wall())
+        verdict = evaluate_claim(found, proposed.claim, self._clock.wall())
         if isinstance(verdict, ClaimHeld):
-            return Ok(HeldClaim(wanted.row_key, found, row.version))
+            return Ok(HeldClaim(proposed.row_key, found, row.version))
         if isinstance(verdict, ClaimFree):
-            return _Again(row.version)
+            return _RetryInsert(row.version)
         return Err(verdict)
 
 
-def _name_row(request: ClaimRequest) -> str:
+def _create_row_key(request: ClaimRequest) -> str:
     digest = blake2b(
         request.idempotency_key.encode(),
         digest_size=_DIGEST_BYTES,
@@ -231,6 +245,6 @@
         'claim-unavailable',
         _STATUS_UNAVAILABLE,
         'the table service did not confirm the idempotency key in time; '
-        'ask again with the same key, here or at another host',
+        'send the request again with the same key, here or to another host',
         _RETRY_S,
     )
--- a/crocusshunt/gateway/_draining.py
+++ b/crocusshunt/gateway/_draining.py
@@ -1,4 +1,4 @@
-"""Requests in flight, and the end of taking new ones."""
+"""Requests in flight, and the phases of a graceful stop."""
 
 import asyncio
 import logging
@@ -16,7 +16,11 @@
 
 
 class DrainPhase(str, Enum):
-    """How far a stop has come."""
+    """Phases of a graceful stop.
+
+    While ``leaving``, the host is being removed from the locators' answers
+    and still accepts requests; once ``closed``, it refuses new ones.
+    """
 
     serving = 'serving'
     leaving = 'leaving'
@@ -25,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainReport:
-    """What a stop did.
+    """Result of waiting for the running requests.
 
-    :param finished: requests that ended during the stop.
-    :param cut: identifiers of the requests still running at its bound.
+    :param finished: number of requests that ended in time.
+    :param cut: identifiers of the requests cancelled at the timeout.
     """
 
     finished: int
@@ -36,43 +40,45 @@
 
 
 class InFlight:
-    """Requests that are running, by identifier."""
+    """Running requests by identifier, and the phase of the stop."""
 
     def __init__(self) -> None:
-        """Start with none, serving."""
+        """Start without requests, in the phase ``serving``."""
         self.phase = DrainPhase.serving
         self._tasks: dict[str, asyncio.Task[Any] | None] = {}
 
     def __len__(self) -> int:
-        """Return how many requests run."""
+        """Return the number of running requests."""
         return len(self._tasks)
 
     @property
     def is_leaving(self) -> bool:
-        """Tell whether connections close after their answer."""
+        """Tell whether connections are closed after their response."""
         return self.phase is not DrainPhase.serving
 
     @contextmanager
     def track(self, request_id: str) -> Iterator[None]:
-        """Count a request while it runs."""
+        """Count a request as running while the context is open."""
         self._tasks[request_id] = asyncio.current_task()
         try:
             yield
         finally:
             self._tasks.pop(request_id)
 
-    async def finish(self, bound_s: float) -> DrainReport:
-        """Wait for the end of all requests, up to a bound, then cut them.
+    async def finish(self, timeout_s: float) -> DrainReport:
+        """Refuse new requests, wait for running ones, cancel what is left.
 
-        :param bound_s: longest wait, in seconds.
+        :param timeout_s: longest wait, in seconds.
         """
         self.phase = DrainPhase.closed
-        before = len(self._tasks)
+        running_before = len(self._tasks)
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + bound_s
-        while self._tasks and loop.time() < give_up_at:
+        deadline = loop.time() + timeout_s
+        while self._tasks and loop.time() < deadline:
             await asyncio.sleep(_POLL_S)
-        report = DrainReport(before - len(self._tasks), tuple(self._tasks))
+        report = DrainReport(
+            running_before - len(self._tasks), tuple(self._tasks)
+        )
         for task in self._tasks.values():
             if task is not None:
                 task.cancel()
--- a/crocusshunt/gateway/_handling.py
+++ b/crocusshunt/gateway/_handling.py
@@ -1,4 +1,4 @@
-"""One request of a caller, from its first byte to its outcome."""
+"""Handling of a caller's request, from inspection to response."""
 
 import asyncio
 from dataclasses import dataclass, replace
@@ -15,16 +15,23 @@
     UnknownOutcome,
 )
 from crocusshunt.gateway._admission import Admission, AdmissionControl
-from crocusshunt.gateway._bodies import Body, take_body
-from crocusshunt.gateway._claiming import Refusal
+from crocusshunt.gateway._bodies import Body, read_body
+from crocusshunt.gateway._claiming import ClaimRefusal
 from crocusshunt.gateway._dispatch import Dispatcher
 from crocusshunt.gateway._draining import DrainPhase, InFlight
-from crocusshunt.gateway._inspection import Inspected, inspect_request
+from crocusshunt.gateway._inspection import InspectedRequest, inspect_request
 from crocusshunt.gateway._jobs import Job
+from crocusshunt.gateway._limit_errors import (
+    describe_limit_error,
+    format_limit_headers,
+)
 from crocusshunt.gateway._limits import Limiter
-from crocusshunt.gateway._refusals import describe_limit, format_limit_headers
-from crocusshunt.gateway._relay import Reply, respond_failure, respond_recorded
-from crocusshunt.gateway._settlement import Settlement
+from crocusshunt.gateway._outcome_recorder import OutcomeRecorder
+from crocusshunt.gateway._relay import (
+    ResponseRelay,
+    respond_failure,
+    respond_recorded,
+)
 from crocusshunt.gateway._suspects import SuspectRegistry
 from crocusshunt.gateway._tracing import Trace, Tracer
 
@@ -32,16 +39,16 @@
 _STATUS_REQUEST_TIMEOUT = 408
 _STATUS_UNAVAILABLE = 503
 _LEAVING_RETRY_S = 1
-_PATIENCE_S = 3
+_MAX_TOKEN_WAIT_S = 3
 
 
 @dataclass(frozen=True, slots=True)
 class RequestParts:
-    """Parts that every request passes through."""
+    """Collaborators of the request handler."""
 
     admission_control: AdmissionControl
     limiter: Limiter
-    settlement: Settlement
+    outcome_recorder: OutcomeRecorder
     suspects: SuspectRegistry
     dispatcher: Dispatcher
     in_flight: InFlight
@@ -49,7 +56,12 @@
 
 
 class RequestHandler:
-    """Runs requests through the parts."""
+    """Handles each request in a fixed order of steps.
+
+    The request is inspected, admitted, rate limited and checked against
+    the quarantine. On a route that is not idempotent, its idempotency key
+    is claimed. Then it is dispatched and its outcome recorded.
+    """
 
     def __init__(
         self,
@@ -57,13 +69,13 @@
         clock: Clock,
         identifiers: Identifiers,
     ) -> None:
-        """Use the parts of a gateway."""
+        """Use the given parts of a gateway."""
         self._parts = parts
         self._clock = clock
         self._identifiers = identifiers
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Return the caller's answer."""
+        """Return the response for the caller."""
         trace = self._parts.tracer.open(self._identifiers.create('req'))
         response: web.StreamResponse | None = None
         try:
@@ -83,9 +95,9 @@
         if in_flight.phase is DrainPhase.closed:
             return _refuse(_refuse_leaving(), trace)
         with in_flight.track(trace.request_id):
-            return await self._answer(request, trace)
+            return await self._process(request, trace)
 
-    async def _answer(
+    async def _process(
         self,
         request: web.Request,
         trace: Trace,
@@ -93,65 +105,73 @@
         inspected = inspect_request(request)
         if isinstance(inspected, Err):
             return _refuse(inspected.err_value, trace)
-        admission = self._parts.admission_control.admit(inspected.ok_value.ask)
+        admission = self._parts.admission_control.admit(
+            inspected.ok_value.admission_request
+        )
         if isinstance(admission, Err):
             return _refuse(admission.err_value, trace)
         trace.note_admission(admission.ok_value)
-        refused = await self._limit(admission.ok_value, trace)
+        refused = await self._take_token(admission.ok_value, trace)
         if refused is not None:
             return refused
-        granted_ms = _grant_time(inspected.ok_value, admission.ok_value)
+        deadline_ms = _choose_deadline_ms(
+            inspected.ok_value, admission.ok_value
+        )
         job = Job(
             trace=trace,
             inspected=inspected.ok_value,
             admission=admission.ok_value,
             body=Body(request),
-            reply=Reply(request, trace.request_id, self._parts.in_flight),
-            deadline=trace.started_at + granted_ms / _MILLISECONDS,
+            relay=ResponseRelay(
+                request, trace.request_id, self._parts.in_flight
+            ),
+            deadline=trace.started_at + deadline_ms / _MILLISECONDS,
         )
         return await self._deliver(job)
 
-    async def _limit(
+    async def _take_token(
         self,
         admission: Admission,
         trace: Trace,
     ) -> web.Response | None:
-        """Take a token of the customer, or refuse."""
+        """Take a token of the customer; return a response if refused."""
         if not admission.customer:
             return None
         taken = await self._parts.limiter.try_take(
             admission.customer,
-            min(_PATIENCE_S, admission.route.deadline_ms / _MILLISECONDS),
+            min(_MAX_TOKEN_WAIT_S, admission.route.deadline_ms / _MILLISECONDS),
         )
         if not isinstance(taken, Err):
             return None
-        response = _refuse(describe_limit(taken.err_value), trace)
+        response = _refuse(describe_limit_error(taken.err_value), trace)
         response.headers.update(format_limit_headers(taken.err_value))
         return response
 
     async def _deliver(self, job: Job) -> web.StreamResponse:
-        body = await self._take_body(job)
+        body = await self._read_body(job)
         if isinstance(body, Err):
             return _refuse(body.err_value, job.trace)
         job = replace(job, body=body.ok_value)
         quarantined = self._check_quarantine(job)
         if quarantined is not None:
             return _refuse(quarantined, job.trace)
-        if not _needs_claim(job):
-            return await self._finish(job)
-        claimed = await self._parts.settlement.claim(job)
+        if not _is_claim_needed(job):
+            return await self._dispatch(job)
+        claimed = await self._parts.outcome_recorder.claim(job)
         if isinstance(claimed, Err):
             return _respond_refusal(claimed.err_value, job.trace)
-        return await self._finish(replace(job, held=claimed.ok_value))
+        return await self._dispatch(replace(job, held=claimed.ok_value))
 
-    async def _take_body(self, job: Job) -> Result[Body, NotRun]:
-        is_needed = _needs_claim(job) or self._parts.suspects.has_suspects(
+    async def _read_body(self, job: Job) -> Result[Body, NotRun]:
+        is_needed = _is_claim_needed(job) or self._parts.suspects.has_suspects(
             job.admission.customer,
         )
         remaining = job.deadline - self._clock.monotonic()
         try:
             async with asyncio.timeout(remaining):
-                return await take_body(job.body.request, is_claimed=is_needed)
+                return await read_body(
+                    job.body.request, is_digest_needed=is_needed
+                )
         except TimeoutError:
             return Err(
                 NotRun(
@@ -167,39 +187,41 @@
             return None
         return self._parts.suspects.check(customer, job.fingerprint())
 
-    async def _finish(self, job: Job) -> web.StreamResponse:
+    async def _dispatch(self, job: Job) -> web.StreamResponse:
         try:
-            ending = await self._parts.dispatcher.run(job)
+            dispatched = await self._parts.dispatcher.run(job)
         except asyncio.CancelledError:
-            self._parts.settlement.record_unknown(job)
+            self._parts.outcome_recorder.record_unknown(job)
             raise
         except Exception:
-            job.reply.break_off()
-            self._parts.settlement.record_unknown(job)
+            job.relay.abort()
+            self._parts.outcome_recorder.record_unknown(job)
             raise
-        await self._parts.settlement.settle(job, ending)
-        return _respond(job, ending.outcome)
+        await self._parts.outcome_recorder.record_outcome(job, dispatched)
+        return _respond(job, dispatched.outcome)
 
 
-def _grant_time(inspected: Inspected, admission: Admission) -> int:
+def _choose_deadline_ms(
+    inspected: InspectedRequest, admission: Admission
+) -> int:
     longest_ms = admission.route.deadline_ms
     return min(longest_ms, inspected.deadline_ms or longest_ms)
 
 
-def _needs_claim(job: Job) -> bool:
+def _is_claim_needed(job: Job) -> bool:
     admission = job.admission
-    is_owned = bool(admission.customer and job.inspected.idempotency_key)
-    return is_owned and not admission.route.idempotent
+    is_keyed = bool(admission.customer and job.inspected.idempotency_key)
+    return is_keyed and not admission.route.idempotent
 
 
 def _respond(job: Job, outcome: Outcome) -> web.StreamResponse:
     if isinstance(outcome, NotRun | UnknownOutcome):
         return _refuse(outcome, job.trace)
-    assert job.reply.response is not None  # noqa: S101
-    return job.reply.response
+    assert job.relay.response is not None  # noqa: S101
+    return job.relay.response
 
 
-def _respond_refusal(refusal: Refusal, trace: Trace) -> web.Response:
+def _respond_refusal(refusal: ClaimRefusal, trace: Trace) -> web.Response:
     if isinstance(refusal, RecordedAnswer):
         return respond_recorded(refusal, trace.request_id)
     return _refuse(refusal, trace)
--- a/crocusshunt/gateway/_heartbeat.py
+++ b/crocusshunt/gateway/_heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats of the gateway to its host's controller."""
+"""Heartbeats from the gateway to its host's controller."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 
 
 class HeartbeatSender:
-    """Tells the controller that the gateway runs, or that it leaves."""
+    """Tells the controller that the gateway runs or is stopping."""
 
     def __init__(self, controller: str, requesters: RequesterPool) -> None:
-        """Prepare to send.
+        """Prepare to send heartbeats to the controller.
 
         :param controller: address of this host's controller.
         """
@@ -21,7 +21,7 @@
         self._leaving = asyncio.Event()
 
     async def run(self) -> None:
-        """Send heartbeats for ever, the first after a leave at once."""
+        """Send heartbeats periodically, and at once when the stop begins."""
         while not self._leaving.is_set():
             await self._send()
             await self._pause()
@@ -30,7 +30,7 @@
             await asyncio.sleep(HEARTBEAT_PERIOD_S)
 
     async def announce_leave(self) -> None:
-        """Say from now on that the gateway leaves."""
+        """Report from now on that the gateway is stopping."""
         self._leaving.set()
 
     async def _pause(self) -> None:
--- a/crocusshunt/gateway/_inspection.py
+++ b/crocusshunt/gateway/_inspection.py
@@ -1,4 +1,4 @@
-"""What a request shows before anything is decided about it."""
+"""Inspection of requests: ambiguous or malformed ones are refused."""
 
 from dataclasses import dataclass
 
@@ -15,33 +15,33 @@
     normalize_path,
     strip_keys_from_query,
 )
-from crocusshunt.gateway._admission import Ask
+from crocusshunt.gateway._admission import AdmissionRequest
 
 _STATUS_BAD_REQUEST = 400
 _STATUS_EXPECTATION_FAILED = 417
 _MAX_IDEMPOTENCY_CHARACTERS = 255
 _CONTINUE = '100-continue'
-_MAX_DIGITS = 9
+_MAX_DEADLINE_DIGITS = 9
 
 
 @dataclass(frozen=True, slots=True)
-class Inspected:
-    """A request that means the same to every server that reads it.
+class InspectedRequest:
+    """A request that every HTTP server parses in the same way.
 
-    :param target: path and query for the backend server, without keys.
-    :param idempotency_key: empty where the request has none.
-    :param deadline_ms: time that the caller grants, in milliseconds, None
-        where it says none.
+    :param target: path and query for the backend server, without API keys.
+    :param idempotency_key: empty if the request has none.
+    :param deadline_ms: longest duration that the caller asks for, in
+        milliseconds, None if it asks for none.
     """
 
-    ask: Ask
+    admission_request: AdmissionRequest
     target: str
     idempotency_key: str
     deadline_ms: int | None
 
 
-def inspect_request(request: web.Request) -> Result[Inspected, NotRun]:
-    """Return the facts of a request, or refuse an ambiguous one."""
+def inspect_request(request: web.Request) -> Result[InspectedRequest, NotRun]:
+    """Return the inspected request, or a refusal if it is ambiguous."""
     client = parse_address(request.remote or '')
     if isinstance(client, Err):
         return Err(_refuse('invalid-client', client.err_value.describe()))
@@ -53,39 +53,43 @@
     refusal = _check_headers(request)
     if refusal is not None:
         return Err(refusal)
-    return Ok(_collect(request, client.ok_value, path.ok_value, query))
+    return Ok(_create_inspected(request, client.ok_value, path.ok_value, query))
 
 
-def expects_continue(request: web.Request) -> bool:
-    """Tell whether the caller waits for leave to send its body."""
+def is_continue_expected(request: web.Request) -> bool:
+    """Tell whether the caller waits for 100 Continue to send its body."""
     return request.headers.get('Expect', '').lower() == _CONTINUE
 
 
-def _collect(
+def _create_inspected(
     request: web.Request,
     client: IPAddress,
     path: NormalPath,
     query: str,
-) -> Inspected:
-    kept = strip_keys_from_query(query)
-    return Inspected(
-        ask=Ask(
+) -> InspectedRequest:
+    query_without_keys = strip_keys_from_query(query)
+    return InspectedRequest(
+        admission_request=AdmissionRequest(
             host=request.host.partition(':')[0],
             path=path.decoded,
             method=request.method,
             client=client,
             keys=find_keys(request.headers, query),
         ),
-        target=f'{path.raw}?{kept}' if kept else path.raw,
+        target=f'{path.raw}?{query_without_keys}'
+        if query_without_keys
+        else path.raw,
         idempotency_key=request.headers.get(IDEMPOTENCY_HEADER, ''),
         deadline_ms=_read_deadline(request),
     )
 
 
 def _read_deadline(request: web.Request) -> int | None:
-    granted = request.headers.get(DEADLINE_HEADER, '')
-    is_number = granted.isascii() and granted.isdecimal()
-    return int(granted) if is_number and len(granted) <= _MAX_DIGITS else None
+    text = request.headers.get(DEADLINE_HEADER, '')
+    is_number = text.isascii() and text.isdecimal()
+    return (
+        int(text) if is_number and len(text) <= _MAX_DEADLINE_DIGITS else None
+    )
 
 
 def _check_headers(request: web.Request) -> NotRun | None:
@@ -95,18 +99,21 @@
     if len(headers.getall('Content-Length', ())) > 1:
         return _refuse('ambiguous-length', 'Content-Length is repeated')
     if 'Transfer-Encoding' in headers and 'Content-Length' in headers:
-        return _refuse('ambiguous-length', 'two framings of one body')
+        return _refuse(
+            'ambiguous-length',
+            'both Transfer-Encoding and Content-Length are given',
+        )
     keys = headers.getall(IDEMPOTENCY_HEADER, ())
     if any(not _is_idempotency_key(key) for key in keys) or len(keys) > 1:
         return _refuse(
             'invalid-idempotency-key',
             'one key of 1 to 255 visible ASCII characters is needed',
         )
-    if 'Expect' in headers and not expects_continue(request):
+    if 'Expect' in headers and not is_continue_expected(request):
         return NotRun(
             'expectation-unknown',
             _STATUS_EXPECTATION_FAILED,
-            'only 100-continue is known',
+            'only 100-continue is supported',
         )
     return None
 
--- a/crocusshunt/gateway/_jobs.py
+++ b/crocusshunt/gateway/_jobs.py
@@ -1,4 +1,4 @@
-"""One admitted request, and what its attempts came to."""
+"""An admitted request and the state of its attempts."""
 
 from dataclasses import dataclass, field
 
@@ -18,9 +18,9 @@
 from crocusshunt.gateway._admission import Admission
 from crocusshunt.gateway._bodies import Body
 from crocusshunt.gateway._claiming import HeldClaim
-from crocusshunt.gateway._inspection import Inspected
-from crocusshunt.gateway._picking import RoomRequest
-from crocusshunt.gateway._relay import Reply
+from crocusshunt.gateway._inspection import InspectedRequest
+from crocusshunt.gateway._picking import SlotRequest
+from crocusshunt.gateway._relay import ResponseRelay
 from crocusshunt.gateway._tracing import Trace
 from crocusshunt.routing import RetryClass, Server
 
@@ -32,17 +32,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """An admitted request.
+    """An admitted request and what is needed to dispatch it.
 
-    :param deadline: monotonic time by which it ends.
-    :param held: its claim, if it has one.
+    :param relay: relays the response to the caller.
+    :param deadline: monotonic time by which the request ends, in seconds.
+    :param held: claim of its idempotency key, if it has one.
     """
 
     trace: Trace
-    inspected: Inspected
+    inspected: InspectedRequest
     admission: Admission
     body: Body
-    reply: Reply
+    relay: ResponseRelay
     deadline: float
     held: HeldClaim | None = None
 
@@ -52,27 +53,27 @@
         return self.trace.request_id
 
     def fingerprint(self) -> str:
-        """Return the digest of the request, without its keys."""
+        """Return the digest of method, target and body, without API keys."""
         return fingerprint_request(
-            self.inspected.ask.method,
+            self.inspected.admission_request.method,
             self.inspected.target,
-            self.body.digest(),
+            self.body.compute_digest(),
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Ending:
-    """How a request ended.
+class DispatchResult:
+    """Final outcome of a dispatched request.
 
-    :param suspicion: set where it seems to have crashed a server.
+    :param suspicion: set if the request seems to have crashed a server.
     """
 
     outcome: Outcome
     suspicion: CrashSuspicion | None = None
 
 
-def refuse_late() -> NotRun:
-    """Refuse a request whose deadline passed before it was sent."""
+def refuse_expired() -> NotRun:
+    """Return the refusal of a request that was not sent before its deadline."""
     return NotRun(
         'deadline-exceeded',
         _STATUS_GATEWAY_TIMEOUT,
@@ -82,40 +83,42 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What was tried so far.
+    """Attempts of a request so far.
 
-    :param tried: servers not to be asked again at once.
-    :param failures: attempts that failed, other than for want of room.
+    :param tried: servers that the next attempt must avoid.
+    :param failures: number of failed attempts, without those shed for lack
+        of a free slot.
+    :param outcome: outcome of the last attempt.
     """
 
-    room: RoomRequest
+    slot_request: SlotRequest
     tried: tuple[Server, ...] = ()
     failures: int = 0
-    outcome: Outcome = field(default_factory=refuse_late)
+    outcome: Outcome = field(default_factory=refuse_expired)
     suspicion: CrashSuspicion | None = None
 
-    def note(self, server: Server, outcome: Outcome) -> None:
-        """Count an attempt."""
+    def record_attempt(self, server: Server, outcome: Outcome) -> None:
+        """Record the outcome of an attempt."""
         self.outcome = outcome
         self.tried = (*self.tried, server)
         if not is_overloaded(outcome):
             self.failures += 1
 
 
-def name_account(job: Job) -> tuple[str, str]:
-    """Return whose retries a job spends."""
+def get_budget_key(job: Job) -> tuple[str, str]:
+    """Return the customer and pool whose retry budget a request spends."""
     return job.admission.customer, job.admission.route.pool
 
 
 def is_overloaded(outcome: Outcome) -> bool:
-    """Tell whether a server had no room."""
+    """Tell whether the server shed the request for lack of a free slot."""
     return isinstance(outcome, NotRun) and outcome.code == _OVERLOADED
 
 
-def prepare_forward(job: Job, remaining: float) -> ForwardRequest:
-    """Return the request as the backend server will see it.
+def create_forward_request(job: Job, remaining: float) -> ForwardRequest:
+    """Return the request to send to the backend server.
 
-    :param remaining: what is left of the deadline, in seconds.
+    :param remaining: time until the deadline, in seconds.
     """
     request = job.body.request
     added = (
@@ -123,12 +126,14 @@
         (CUSTOMER_HEADER, job.admission.customer),
         (DEADLINE_HEADER, str(int(remaining * _MILLISECONDS))),
     )
-    ask = job.inspected.ask
+    admission_request = job.inspected.admission_request
     return ForwardRequest(
         request_id=job.request_id,
-        method=ask.method,
+        method=admission_request.method,
         target=job.inspected.target,
-        headers=prepare_request_headers(request.headers, added, ask.keys),
+        headers=prepare_request_headers(
+            request.headers, added, admission_request.keys
+        ),
         body=job.body.open(),
         timeout_s=remaining,
         is_repeatable=_is_repeatable(job),
@@ -136,7 +141,12 @@
 
 
 def is_retryable(outcome: Outcome, job: Job) -> bool:
-    """Tell whether the route lets an attempt be repeated."""
+    """Tell whether the route allows a retry after an outcome.
+
+    A request that did not run is retried unless the route forbids all
+    retries; one that may have run, only if the route is idempotent and
+    its retry class allows it.
+    """
     if isinstance(outcome, NotRun):
         return job.admission.route.retry is not RetryClass.never
     return isinstance(outcome, UnknownOutcome) and _is_repeatable(job)
@@ -147,8 +157,8 @@
     return route.idempotent and route.retry is RetryClass.idempotent
 
 
-def is_loss(outcome: Outcome) -> bool:
-    """Tell whether a server seems to have gone away."""
+def is_server_loss(outcome: Outcome) -> bool:
+    """Tell whether the server seems to have crashed during the request."""
     if isinstance(outcome, UnknownOutcome):
         return outcome.code == _DISCONNECTED
     return isinstance(outcome, ResponseInterrupted)
--- a/crocusshunt/gateway/_refusals.py
+++ b/crocusshunt/gateway/_limit_errors.py
@@ -1,4 +1,4 @@
-"""Refusals for want of admission tokens."""
+"""Errors of the rate limiter and the HTTP responses they lead to."""
 
 from dataclasses import dataclass
 
@@ -12,12 +12,12 @@
 
 @dataclass(unsafe_hash=True)
 class RateExceededError(CrocusError):
-    """A request above its customer's rate and burst.
+    """The request exceeds its customer's rate and burst.
 
-    :param limit: requests a second.
-    :param burst: requests at once.
-    :param remaining: whole tokens left.
-    :param reset_s: seconds until another token is there.
+    :param limit: the customer's rate, in requests per second.
+    :param burst: capacity of the customer's token bucket, in requests.
+    :param remaining: whole tokens left in the bucket.
+    :param reset_s: seconds until the next token is available.
     """
 
     code = 'rate-exceeded'
@@ -30,9 +30,9 @@
 
 @dataclass(unsafe_hash=True)
 class LimitUnavailableError(CrocusError):
-    """No host could say whether the customer is within its rate.
+    """No host could tell whether the customer is within its rate.
 
-    :param detail: what was seen.
+    :param detail: error of the last attempt to borrow tokens.
     """
 
     code = 'limit-unavailable'
@@ -43,10 +43,10 @@
 LimitError = RateExceededError | LimitUnavailableError
 
 
-def describe_limit(failure: LimitError) -> NotRun:
-    """Return the outcome for the caller.
+def describe_limit_error(failure: LimitError) -> NotRun:
+    """Return the outcome that the caller sees for a rate limiter's error.
 
-    >>> describe_limit(RateExceededError(10, 5, 0, 0.1)).status
+    >>> describe_limit_error(RateExceededError(10, 5, 0, 0.1)).status
     429
     """
     if isinstance(failure, RateExceededError):
@@ -65,7 +65,7 @@
 
 
 def format_limit_headers(failure: LimitError) -> dict[str, str]:
-    """Return the headers of a refusal besides Retry-After.
+    """Return the rate limit headers of the response, without Retry-After.
 
     Reference: IETF draft-ietf-httpapi-ratelimit-headers.
 
--- a/crocusshunt/gateway/_exposure.py
+++ b/crocusshunt/gateway/_metrics_service.py
@@ -1,4 +1,4 @@
-"""Metrics of the gateway in the text format of Prometheus."""
+"""Metrics of the gateway in the Prometheus text format."""
 
 from aiohttp import web
 
@@ -9,7 +9,7 @@
 
 
 class MetricsService(HttpService):
-    """Serves the metrics to processes of this host alone."""
+    """Serves the metrics on the loopback address of this host."""
 
     def __init__(self, port: int, metrics: RequestMetrics) -> None:
         """Prepare to listen on the loopback address."""
@@ -17,7 +17,7 @@
         self._metrics = metrics
 
     def create_application(self) -> web.Application:
-        """Return an application with one path."""
+        """Return an application with the path ``/metrics``."""
         application = web.Application()
         application.router.add_get('/metrics', self._show)
         return application
--- a/crocusshunt/gateway/_settlement.py
+++ b/crocusshunt/gateway/_outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What is written down of a request before and after it runs."""
+"""Claims and outcomes of requests, recorded before and after they run."""
 
 from result import Err, Result
 
@@ -10,18 +10,18 @@
 )
 from crocusshunt.gateway._claiming import (
     ClaimLedger,
+    ClaimRefusal,
     ClaimRequest,
     HeldClaim,
-    Refusal,
 )
 from crocusshunt.gateway._draining import InFlight
-from crocusshunt.gateway._jobs import Ending, Job
+from crocusshunt.gateway._jobs import DispatchResult, Job
 from crocusshunt.gateway._suspects import SuspectRegistry
 from crocusshunt.services import TaskGroup
 
 
-class Settlement:
-    """Claims keys, records outcomes and shares suspicions."""
+class OutcomeRecorder:
+    """Claims idempotency keys, records outcomes and shares suspicions."""
 
     def __init__(
         self,
@@ -30,17 +30,23 @@
         in_flight: InFlight,
         tasks: TaskGroup,
     ) -> None:
-        """Use the parts of a gateway.
+        """Use the given parts of a gateway.
 
-        :param in_flight: counts outcomes that are still being recorded.
+        :param in_flight: also counts outcomes that are being recorded, so
+            that a stop waits for them.
+        :param tasks: group of the background tasks.
         """
         self._ledger = ledger
         self._suspects = suspects
         self._in_flight = in_flight
         self._tasks = tasks
 
-    async def claim(self, job: Job) -> Result[HeldClaim, Refusal]:
-        """Claim a request's idempotency key before dispatch."""
+    async def claim(self, job: Job) -> Result[HeldClaim, ClaimRefusal]:
+        """Claim a request's idempotency key before dispatch.
+
+        A claim whose insert was not confirmed is withdrawn in the
+        background.
+        """
         request = ClaimRequest(
             job.admission.customer,
             job.inspected.idempotency_key,
@@ -49,32 +55,38 @@
             job.deadline,
         )
         claimed = await self._ledger.claim(request)
-        if isinstance(claimed, Err) and _is_undecided(claimed.err_value):
+        if isinstance(claimed, Err) and _is_claim_uncertain(claimed.err_value):
             self._tasks.start(self._ledger.withdraw(request))
         return claimed
 
     def record_unknown(self, job: Job) -> None:
-        """Record, in the background, that a request was given up."""
-        self._record_later(job, ClaimState.unknown)
+        """Record in the background that the outcome is unknown."""
+        self._record_in_background(job, ClaimState.unknown)
 
-    async def settle(self, job: Job, ending: Ending) -> None:
-        """Record an outcome, and share the suspicion that it raised."""
-        outcome, suspects = ending.outcome, self._suspects
+    async def record_outcome(
+        self, job: Job, dispatched: DispatchResult
+    ) -> None:
+        """Record an outcome, and share the suspicion that it raised.
+
+        An answered request drops its own suspicion.
+        """
+        outcome, suspects = dispatched.outcome, self._suspects
         if isinstance(outcome, NotRun) and job.held is not None:
-            # Before the answer, so that the caller may repeat at once.
+            # Before the response is sent, so that the caller may repeat the
+            # request at once.
             await self._ledger.record(job.held, ClaimState.released)
         elif isinstance(outcome, Answered | ResponseInterrupted):
-            self._record_later(job, ClaimState.answered)
+            self._record_in_background(job, ClaimState.answered)
         else:
-            self._record_later(job, ClaimState.unknown)
+            self._record_in_background(job, ClaimState.unknown)
         if isinstance(outcome, Answered):
             if suspects.has_suspects(job.admission.customer):
                 customer = job.admission.customer
                 await suspects.forget(customer, job.fingerprint())
-        elif ending.suspicion is not None:
-            await suspects.share(ending.suspicion)
+        elif dispatched.suspicion is not None:
+            await suspects.share(dispatched.suspicion)
 
-    def _record_later(self, job: Job, state: ClaimState) -> None:
+    def _record_in_background(self, job: Job, state: ClaimState) -> None:
         if job.held is not None:
             self._tasks.start(self._record(job.held, job, state))
 
@@ -84,11 +96,11 @@
         job: Job,
         state: ClaimState,
     ) -> None:
-        answer = job.reply.record()
-        known = state if answer is None else ClaimState.answered
+        answer = job.relay.create_record()
+        recorded_state = state if answer is None else ClaimState.answered
         with self._in_flight.track(f'{job.request_id}-record'):
-            await self._ledger.record(held, known, answer)
+            await self._ledger.record(held, recorded_state, answer)
 
 
-def _is_undecided(refusal: Refusal) -> bool:
+def _is_claim_uncertain(refusal: ClaimRefusal) -> bool:
     return isinstance(refusal, NotRun) and refusal.code == 'claim-unavailable'
--- a/crocusshunt/gateway/_picking.py
+++ b/crocusshunt/gateway/_picking.py
@@ -1,4 +1,4 @@
-"""Choice of a server with room, at once."""
+"""Choice of a backend server with a free slot."""
 
 import random
 from collections.abc import Iterable, Sequence
@@ -12,13 +12,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RoomRequest:
-    """Who asks for room.
+class SlotRequest:
+    """A request that needs a slot at a server.
 
-    :param deadline: monotonic time by which the request ends.
-    :param number: order of arrival, see :meth:`Rooms.create_number`.
-    :param arrived_at: monotonic time of arrival.
-    :param tried: servers that the request was sent to before.
+    :param number: order of arrival, see :meth:`SlotAllocator.create_number`.
+    :param arrived_at: monotonic time of arrival, in seconds.
+    :param deadline: monotonic time by which the request ends, in seconds.
+    :param tried: servers that must not get the request again.
     """
 
     number: int
@@ -31,56 +31,58 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerState:
-    """What this gateway saw of the servers."""
+class ServerStatistics:
+    """Loads and failures of the servers, as seen from this gateway."""
 
     loads: ServerLoads
     outliers: OutlierDetector
 
 
 class ServerPicker:
-    """Takes slots of the servers that this gateway sees with room."""
+    """Chooses servers with a free slot and occupies the slot."""
 
     def __init__(
         self,
         admission_control: AdmissionControl,
-        state: ServerState,
+        statistics: ServerStatistics,
         clock: Clock,
         source: random.Random,
         split: RegionSplit,
     ) -> None:
         """Use the servers of the configuration in force.
 
-        :param split: names the region whose servers come first.
+        :param split: chooses the region whose servers are preferred.
         """
         self._admission_control = admission_control
-        self._state = state
+        self._statistics = statistics
         self._clock = clock
         self._source = source
         self._split = split
 
-    def acquire(self, request: RoomRequest) -> Server | None:
-        """Return a server with room, if there is one at once.
+    def acquire(self, request: SlotRequest) -> Server | None:
+        """Occupy a slot and return its server, None if none is free.
 
-        Servers tried before are left out; other failure domains than
-        theirs come first.
+        Servers tried before are left out; servers in failure domains that
+        were not tried are preferred.
         """
         servers = self._admission_control.servers.get(request.pool, ())
         now = self._clock.monotonic()
-        is_open = self._state.outliers.select_available(servers, now)
+        available = self._statistics.outliers.select_available(servers, now)
         if not request.tried:
-            return self._choose(request.pool, is_open, now)
-        names = {server.name for server in request.tried}
-        domains = {server.failure_domain for server in request.tried}
-        untried = [one for one in is_open if one.name not in names]
-        apart = [one for one in untried if one.failure_domain not in domains]
+            return self._choose(request.pool, available, now)
+        tried_names = {server.name for server in request.tried}
+        tried_domains = {server.failure_domain for server in request.tried}
+        untried = [one for one in available if one.name not in tried_names]
+        in_other_domains = [
+            one for one in untried if one.failure_domain not in tried_domains
+        ]
         pool = request.pool
-        chosen = self._choose(pool, apart, now)
+        chosen = self._choose(pool, in_other_domains, now)
         return chosen or self._choose(pool, untried, now)
 
     def release(self, server: Server) -> None:
-        """Give a slot back."""
-        self._state.loads.release(server)
+        """Release a slot of a server."""
+        self._statistics.loads.release(server)
 
     def _choose(
         self,
@@ -89,12 +91,12 @@
         now: float,
     ) -> Server | None:
         region = self._split.choose(pool)
-        near = [one for one in servers if one.region == region]
-        chosen = self._choose_among(near, now)
-        if chosen is None and len(near) < len(servers):
+        preferred = [one for one in servers if one.region == region]
+        chosen = self._choose_among(preferred, now)
+        if chosen is None and len(preferred) < len(servers):
             chosen = self._choose_among(servers, now)
         if chosen is not None:
-            self._state.loads.acquire(chosen)
+            self._statistics.loads.acquire(chosen)
             self._split.commit(pool, chosen.region)
         return chosen
 
@@ -103,10 +105,10 @@
         servers: Iterable[Server],
         now: float,
     ) -> Server | None:
-        state = self._state
+        statistics = self._statistics
         return choose_server(
             servers,
-            state.loads,
+            statistics.loads,
             self._source,
-            lambda one: state.outliers.compute_share(one, now),
+            lambda one: statistics.outliers.compute_share(one, now),
         )
--- a/crocusshunt/gateway/_relay.py
+++ b/crocusshunt/gateway/_relay.py
@@ -1,4 +1,4 @@
-"""The caller's side of an answer."""
+"""Responses to the caller."""
 
 from aiohttp import ClientResponse, web
 
@@ -14,12 +14,16 @@
 from crocusshunt.gateway._draining import InFlight
 from crocusshunt.web import json_response
 
-_KEPT_BYTES = 4096
+_MAX_RECORDED_BYTES = 4096
 _REPLAYED_HEADER = 'Idempotency-Replayed'
 
 
-class Reply:
-    """Streams one answer to the caller, and keeps a small body."""
+class ResponseRelay:
+    """Streams a backend server's response to the caller.
+
+    A body of up to 4096 bytes is also kept, so that it can be recorded for
+    repeats of a request with an idempotency key.
+    """
 
     def __init__(
         self,
@@ -27,18 +31,19 @@
         request_id: str,
         in_flight: InFlight,
     ) -> None:
-        """Prepare; nothing reaches the caller yet."""
+        """Prepare the relay without sending anything to the caller."""
         self._request = request
         self._in_flight = in_flight
         self._request_id = request_id
-        self._kept: bytearray | None = bytearray()
+        self._buffer: bytearray | None = bytearray()
         self.response: web.StreamResponse | None = None
 
-    async def relay(self, answer: ClientResponse) -> None:
-        """Stream an answer with back-pressure.
+    async def send(self, answer: ClientResponse) -> None:
+        """Stream a response, reading no faster than the caller does.
 
-        The caller's connection is broken where the answer does not reach
-        it whole, so that it cannot take a part for the whole.
+        If the response cannot be relayed completely, the caller's
+        connection is aborted, so that the caller cannot mistake a
+        truncated response for a complete one.
         """
         headers = prepare_answer_headers(answer.headers)
         headers[REQUEST_ID_HEADER] = self._request_id
@@ -47,27 +52,30 @@
             reason=answer.reason,
             headers=headers,
         )
-        is_whole = False
+        is_complete = False
         try:
             await self._stream(answer, self.response)
-            is_whole = True
+            is_complete = True
         finally:
-            if not is_whole:
-                self.break_off()
+            if not is_complete:
+                self.abort()
 
-    def break_off(self) -> None:
-        """Break the caller's connection."""
-        self._kept = None
+    def abort(self) -> None:
+        """Abort the caller's connection and drop the kept body."""
+        self._buffer = None
         if self._request.transport is not None:
             self._request.transport.abort()
 
-    def record(self) -> RecordedAnswer | None:
-        """Return the relayed answer for the claim, None without one."""
+    def create_record(self) -> RecordedAnswer | None:
+        """Return the response to store with the claim, None before one began.
+
+        Its body is None where it was too large to keep or incomplete.
+        """
         if self.response is None:
             return None
-        kept = None if self._kept is None else bytes(self._kept)
+        body = None if self._buffer is None else bytes(self._buffer)
         content_type = self.response.headers.get('Content-Type', '')
-        return RecordedAnswer(self.response.status, content_type, kept)
+        return RecordedAnswer(self.response.status, content_type, body)
 
     async def _stream(
         self,
@@ -78,25 +86,28 @@
             response.force_close()
         await response.prepare(self._request)
         async for chunk in answer.content.iter_any():
-            self._keep(chunk)
+            self._buffer_chunk(chunk)
             await response.write(chunk)
         await response.write_eof()
 
-    def _keep(self, chunk: bytes) -> None:
-        if self._kept is None:
+    def _buffer_chunk(self, chunk: bytes) -> None:
+        if self._buffer is None:
             return
-        self._kept += chunk
-        if len(self._kept) > _KEPT_BYTES:
-            self._kept = None
+        self._buffer += chunk
+        if len(self._buffer) > _MAX_RECORDED_BYTES:
+            self._buffer = None
 
 
 def respond_failure(failure: Failure, request_id: str) -> web.Response:
-    """Return the problem document of a failed request."""
+    """Return a failed request's response, with a problem document.
+
+    Reference: RFC 9457, "Problem Details for HTTP APIs".
+    """
     headers = {REQUEST_ID_HEADER: request_id}
     if isinstance(failure, NotRun | UnknownOutcome):
-        pause = failure.retry_after_s
-        if pause is not None:
-            headers['Retry-After'] = str(max(1, round(pause)))
+        retry_after_s = failure.retry_after_s
+        if retry_after_s is not None:
+            headers['Retry-After'] = str(max(1, round(retry_after_s)))
     problem = describe_failure(failure, request_id)
     return json_response(problem, problem.status, headers)
 
@@ -105,7 +116,7 @@
     answer: RecordedAnswer,
     request_id: str,
 ) -> web.Response:
-    """Return the recorded answer to a repeat of a claimed request."""
+    """Return the recorded response for a repeat of a claimed request."""
     headers = {REQUEST_ID_HEADER: request_id, _REPLAYED_HEADER: 'true'}
     if answer.content_type:
         headers['Content-Type'] = answer.content_type
--- a/crocusshunt/gateway/_service.py
+++ b/crocusshunt/gateway/_service.py
@@ -15,8 +15,8 @@
 from crocusshunt.gateway._handling import RequestHandler, RequestParts
 from crocusshunt.gateway._heartbeat import HeartbeatSender
 from crocusshunt.gateway._limits import Limiter
+from crocusshunt.gateway._outcome_recorder import OutcomeRecorder
 from crocusshunt.gateway._settings import DeliveryPolicy, GatewaySettings
-from crocusshunt.gateway._settlement import Settlement
 from crocusshunt.gateway._suspects import SuspectRegistry
 from crocusshunt.gateway._sweeping import ClaimSweeper
 from crocusshunt.gateway._tracing import Tracer
@@ -29,7 +29,7 @@
 
 
 class GatewayService(HttpService):
-    """Admits requests and forwards them."""
+    """HTTP service that admits requests and forwards them to servers."""
 
     def __init__(
         self,
@@ -38,7 +38,11 @@
         source: random.Random,
         policy: DeliveryPolicy | None = None,
     ) -> None:
-        """Assemble the parts; nothing runs yet."""
+        """Assemble the parts without starting them.
+
+        :param source: randomness for identifiers and the choice of servers.
+        :param policy: queueing, ejection and retries; defaults if None.
+        """
         self._policy = policy or DeliveryPolicy()
         section = settings.gateway
         super().__init__(section.address, section.port)
@@ -68,26 +72,26 @@
         self.metrics = RequestMetrics(MetricsSettings())
         identifiers = Identifiers(source)
         self._handler = RequestHandler(
-            self._create_desk(identifiers),
+            self._create_request_parts(identifiers),
             clock,
             identifiers,
         )
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests run."""
+        """Return the number of running requests."""
         return len(self._in_flight)
 
     def on_drain(self, hook: DrainHook) -> None:
-        """Call a function when the drain begins.
+        """Register a function to call when the drain begins.
 
-        It takes the host off the locator's answers; the stop then waits
-        out their lifetime.
+        Its task is to remove the host from the locator's answers; the stop
+        then waits until earlier answers have expired.
         """
         self._drain_hooks.append(hook)
 
     def create_application(self) -> web.Application:
-        """Return an application that takes every path."""
+        """Return an application that handles every method and path."""
         application = web.Application(client_max_size=0)
         application.router.add_route(
             '*',
@@ -98,7 +102,7 @@
         return application
 
     async def start(self) -> None:
-        """Follow the controller and listen."""
+        """Start the background tasks and listen."""
         await self._forwarder.start()
         self._tasks.start(self._follower.run())
         self._tasks.start(self._suspects.run())
@@ -107,7 +111,10 @@
         await super().start()
 
     async def begin_drain(self) -> None:
-        """Mark this host as leaving; it still takes requests."""
+        """Mark this host as leaving and call the drain functions.
+
+        The host still accepts requests.
+        """
         if self._in_flight.phase is not DrainPhase.serving:
             return
         self._in_flight.phase = DrainPhase.leaving
@@ -115,7 +122,12 @@
             await hook()
 
     async def stop(self, exception: Exception | None = None) -> Any:
-        """Leave the locator, finish requests, then close."""
+        """Stop gracefully.
+
+        The host is removed from the locator's answers and waits until
+        earlier answers have expired. Then it refuses new requests, waits
+        up to ``finish_s`` seconds for running ones and cancels the rest.
+        """
         section = self._settings.gateway
         await self.begin_drain()
         await asyncio.sleep(section.answer_lifetime_s)
@@ -126,7 +138,7 @@
         await self._platform.close()
         self._requesters.close()
 
-    def _create_desk(self, identifiers: Identifiers) -> RequestParts:
+    def _create_request_parts(self, identifiers: Identifiers) -> RequestParts:
         section = self._settings.gateway
         admission_control = AdmissionControl(self.feed, section.key_evidence_s)
         limiter = Limiter(
@@ -143,7 +155,7 @@
         return RequestParts(
             admission_control,
             limiter,
-            Settlement(
+            OutcomeRecorder(
                 ClaimLedger(self._platform, self._clock, owner),
                 self._suspects,
                 self._in_flight,
@@ -168,4 +180,4 @@
 
 
 async def _defer_continue(request: web.Request) -> None:
-    """Leave 100-continue until the request is admitted."""
+    """Send no 100 Continue before the request is admitted."""
--- a/crocusshunt/gateway/_settings.py
+++ b/crocusshunt/gateway/_settings.py
@@ -11,22 +11,23 @@
 from crocusshunt.settings import Duration, HostAddress, Port, TcpAddress
 
 # A withdrawn key must stop working within 5 s.
-_GREATEST_EVIDENCE_AGE_S = 4.5
-EvidenceAge = Annotated[float, Meta(gt=0, le=_GREATEST_EVIDENCE_AGE_S)]
+_MAX_EVIDENCE_AGE_S = 4.5
+EvidenceAge = Annotated[float, Meta(gt=0, le=_MAX_EVIDENCE_AGE_S)]
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySection:
-    """Addresses and policy of the gateway.
+    """Addresses and time limits of the gateway.
 
     :param controller: address of this host's controller.
-    :param key_evidence_s: greatest age of the evidence under which keys
-        are honoured, in seconds.
-    :param answer_lifetime_s: how long callers may still come after a stop
-        began, in seconds: until every locator knows of it, and then for as
-        long as they keep a locator's answer.
+    :param key_evidence_s: greatest age, in seconds, of the evidence that
+        the configuration is current under which keys are accepted.
+    :param answer_lifetime_s: how long new requests are still accepted after
+        a stop began, in seconds: until every locator knows of the stop, and
+        then for as long as callers use a locator's earlier answer.
     :param finish_s: longest wait for running requests at a stop, in seconds.
-    :param metrics_port: loopback port of the metrics, 0 for none.
+    :param metrics_port: loopback port of the metrics service, 0 to disable
+        it.
     """
 
     address: HostAddress
@@ -49,15 +50,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DeliveryPolicy:
-    """How requests wait, are retried, and servers are left out.
+    """Queueing, outlier ejection and retry budgets.
 
+    :param ejection: when a failing server gets no requests for a time.
     :param retries: budget for attempts after a failure.
-    :param sheds: budget for attempts after a server had no room.
+    :param shed_retries: budget for attempts after a server shed the
+        request: refused it, without running it, for lack of a free slot.
     """
 
     queue: QueueSettings = field(default_factory=QueueSettings)
     ejection: EjectionSettings = field(default_factory=EjectionSettings)
     retries: BudgetSettings = field(default_factory=BudgetSettings)
-    sheds: BudgetSettings = field(
+    shed_retries: BudgetSettings = field(
         default_factory=lambda: BudgetSettings(ratio=3, reserve=100),
     )
--- a/crocusshunt/gateway/_shares.py
+++ b/crocusshunt/gateway/_shares.py
@@ -1,4 +1,4 @@
-"""Share of a pool's requests that shifts send to other regions."""
+"""Split of a pool's requests between regions, as shifts demand it."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
@@ -9,10 +9,11 @@
 
 
 class RegionSplit:
-    """Names the region that the next request of a pool belongs to.
+    """Chooses the region whose servers a request is sent to first.
 
-    Of the requests of a pool so far, never more than the share went to a
-    region. It is counted and not drawn at random, which would overshoot.
+    At any time, the part of a pool's requests that went to another region
+    is at most the share that a shift gives that region. The choice is made
+    by counts, since random draws would at times exceed the share.
 
     >>> split = RegionSplit('addis')
     >>> split.replace({'verify': (RegionShare('dire', 0.25),)})
@@ -31,8 +32,8 @@
         self._shares: Mapping[str, tuple[RegionShare, ...]] = {}
         self._counts: dict[str, Counter[str]] = {}
 
-    def follow(self, configuration: Configuration) -> None:
-        """Take the shares of a configuration that came into force."""
+    def apply_configuration(self, configuration: Configuration) -> None:
+        """Use the shares of a configuration that came into force."""
         tables = configuration.tables
         found = {
             pool.name: find_region_shares(tables, pool.name, self._region)
@@ -41,17 +42,17 @@
         self.replace({pool: one for pool, one in found.items() if one})
 
     def replace(self, shares: Mapping[str, Iterable[RegionShare]]) -> None:
-        """Take other shares; pools whose shares changed count afresh."""
-        taken = {pool: tuple(found) for pool, found in shares.items()}
+        """Replace all shares; pools whose shares changed count from zero."""
+        new_shares = {pool: tuple(found) for pool, found in shares.items()}
         self._counts = {
             pool: counts
             for pool, counts in self._counts.items()
-            if taken.get(pool) == self._shares.get(pool)
+            if new_shares.get(pool) == self._shares.get(pool)
         }
-        self._shares = taken
+        self._shares = new_shares
 
     def choose(self, pool: str) -> str:
-        """Return the region whose servers come first for a request."""
+        """Return the region to which the next request should be sent."""
         counts = self._counts.get(pool, Counter())
         total = counts.total() + 1
         for share in self._shares.get(pool, ()):
@@ -60,10 +61,10 @@
         return self._region
 
     def commit(self, pool: str, region: str) -> None:
-        """Count a request where it went."""
+        """Count a request for the region to which it was sent."""
         if pool in self._shares:
             self._counts.setdefault(pool, Counter())[region] += 1
 
     def count(self, pool: str, region: str) -> int:
-        """Return how many requests went to a region under these shares."""
+        """Return the number of requests sent to a region under these shares."""
         return self._counts.get(pool, Counter())[region]
--- a/crocusshunt/gateway/_suspects.py
+++ b/crocusshunt/gateway/_suspects.py
@@ -1,4 +1,4 @@
-"""Quarantine shared between hosts through the table service."""
+"""Quarantine of requests that crash servers, shared between hosts."""
 
 import asyncio
 
@@ -24,15 +24,16 @@
 QUARANTINE_TABLE = 'quarantine'
 POLL_S = 1
 
-_TRIES = 4
+_MAX_TRIES = 4
 
 
 class SuspectRegistry:
-    """Suspicions of this host and, a poll later, of all hosts.
+    """Requests suspected of crashing backend servers.
 
-    A caller learns that its request lost a server only after every host
-    had time to learn it too, so that its next try meets the same count
-    wherever it arrives.
+    Each suspicion is a row in the table service, which every host reads
+    once per poll period. A caller is told that a server went away during
+    its request only after every host had time to read the suspicion, so
+    that its next try meets the same count of crashes at any host.
     """
 
     def __init__(self, store: TableStore, clock: Clock) -> None:
@@ -42,13 +43,13 @@
         self._ledger = QuarantineLedger(QuarantineSettings())
 
     async def run(self) -> None:
-        """Read the suspicions of other hosts again and again."""
+        """Read the suspicions of other hosts once per poll period."""
         while True:
             await self.poll()
             await asyncio.sleep(POLL_S)
 
     async def poll(self) -> None:
-        """Read the suspicions of other hosts once."""
+        """Read the suspicions of other hosts once, and drop expired ones."""
         now = self._clock.wall()
         self._ledger.expire(now)
         after = ''
@@ -58,17 +59,17 @@
             if isinstance(found, Err):
                 return
             for row in found.ok_value:
-                await self._take_in(row, now)
+                await self._merge_or_remove(row, now)
                 after = row.key
             if len(found.ok_value) < page.limit:
                 return
 
     def has_suspects(self, customer: str) -> bool:
-        """Tell whether a customer's requests need a fingerprint."""
+        """Tell whether a customer's requests must be checked by fingerprint."""
         return self._ledger.has_suspects(customer, self._clock.wall())
 
     def check(self, customer: str, fingerprint: str) -> NotRun | None:
-        """Refuse a quarantined request."""
+        """Return a refusal if the request is quarantined, else None."""
         return self._ledger.check(customer, fingerprint, self._clock.wall())
 
     def note_loss(
@@ -77,48 +78,51 @@
         fingerprint: str,
         loss: str,
     ) -> CrashSuspicion:
-        """Count a server lost to a request, on this host.
+        """Count a server that went away during a request, on this host.
 
-        :param loss: the server and the attempt, unique.
+        :param loss: unique identifier of the loss: server and request.
         """
         now = self._clock.wall()
         return self._ledger.note_loss(customer, fingerprint, loss, now)
 
     async def forget(self, customer: str, fingerprint: str) -> None:
-        """Drop the suspicion of a request that ran well."""
+        """Drop the suspicion of a request that was answered."""
         if self._ledger.forget(customer, fingerprint):
             key = f'{customer}/{fingerprint}'
             await self._store.transact((Write(QUARANTINE_TABLE, key, None),))
 
-    async def share(self, lost: CrashSuspicion) -> None:
-        """Tell the other hosts, and wait until they had time to read it."""
+    async def share(self, suspicion: CrashSuspicion) -> None:
+        """Store a suspicion and wait until other hosts had time to read it.
+
+        The wait is two poll periods.
+        """
         expected = ABSENT
-        for _ in range(_TRIES):
-            body = msgspec.json.encode(lost).decode()
-            write = Write(QUARANTINE_TABLE, lost.row_key, body, expected)
+        for _ in range(_MAX_TRIES):
+            body = msgspec.json.encode(suspicion).decode()
+            write = Write(QUARANTINE_TABLE, suspicion.row_key, body, expected)
             written = await self._store.transact((write,))
             if isinstance(written, Ok):
                 break
             if not isinstance(written.err_value, StoreConflictError):
                 return
-            row = await self._store.read(QUARANTINE_TABLE, lost.row_key)
+            row = await self._store.read(QUARANTINE_TABLE, suspicion.row_key)
             if isinstance(row, Err):
                 return
             expected = row.ok_value.version if row.ok_value else ABSENT
-            lost = self._merge(lost, row.ok_value)
+            suspicion = self._merge(suspicion, row.ok_value)
         await asyncio.sleep(POLL_S * 2)
 
     def _merge(
-        self, lost: CrashSuspicion, row: StoredRow | None
+        self, suspicion: CrashSuspicion, row: StoredRow | None
     ) -> CrashSuspicion:
         if row is None:
-            return lost
+            return suspicion
         return self._ledger.merge(_decode(row), self._clock.wall())
 
-    async def _take_in(self, row: StoredRow, now: float) -> None:
-        seen = _decode(row)
-        if now < seen.expires_at:
-            self._ledger.merge(seen, now)
+    async def _merge_or_remove(self, row: StoredRow, now: float) -> None:
+        suspicion = _decode(row)
+        if now < suspicion.expires_at:
+            self._ledger.merge(suspicion, now)
         else:
             await self._remove(row)
 
--- a/crocusshunt/gateway/_sweeping.py
+++ b/crocusshunt/gateway/_sweeping.py
@@ -1,4 +1,4 @@
-"""Removal of claims whose keys may be used anew."""
+"""Removal of expired claims of idempotency keys."""
 
 import asyncio
 
@@ -10,27 +10,27 @@
 from crocusshunt.gateway._claiming import CLAIM_LIFETIME_S, CLAIM_TABLE
 from crocusshunt.store import Query, StoredRow, TableStore, Write
 
-_PAUSE_S = 10
+_PERIOD_S = 10
 _PAGE_ROWS = 500
 
 
 class ClaimSweeper:
     """Reads the table of claims page by page and removes expired ones.
 
-    A claim is removed only a whole lifetime after it expired, when nothing
-    that its holder sent can still be on its way.
+    A claim is removed no earlier than a whole claim lifetime after it
+    expired, when nothing that its holder sent can still be in transit.
     """
 
     def __init__(self, store: TableStore, clock: Clock) -> None:
-        """Start at the first row."""
+        """Start at the first row of the table."""
         self._store = store
         self._clock = clock
         self._after = ''
 
     async def run(self) -> None:
-        """Sweep one page after another."""
+        """Sweep one page per period."""
         while True:
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_PERIOD_S)
             await self.sweep()
 
     async def sweep(self) -> None:
@@ -44,11 +44,11 @@
         writes = tuple(
             Write(CLAIM_TABLE, row.key, None, row.version)
             for row in rows
-            if self._is_over(row)
+            if self._is_removable(row)
         )
         if writes:
             await self._store.transact(writes)
 
-    def _is_over(self, row: StoredRow) -> bool:
+    def _is_removable(self, row: StoredRow) -> bool:
         claim = msgspec.json.decode(row.body, type=Claim)
         return self._clock.wall() > claim.expires_at + CLAIM_LIFETIME_S
--- a/crocusshunt/gateway/_tracing.py
+++ b/crocusshunt/gateway/_tracing.py
@@ -1,4 +1,4 @@
-"""What is noted of one request for the logs and the metrics."""
+"""Record of each request for the request log and the metrics."""
 
 from dataclasses import dataclass
 
@@ -15,10 +15,13 @@
 
 @dataclass(slots=True)
 class Trace:
-    """Notes of one request while it runs.
+    """Record of one request while it runs.
 
-    :param arrived_at: seconds since the Unix epoch.
-    :param started_at: monotonic time in seconds.
+    :param arrived_at: time of arrival, in seconds since the Unix epoch.
+    :param started_at: monotonic time of arrival, in seconds.
+    :param code: machine-readable reason of the last failure, else empty.
+    :param server: name of the backend server of the last attempt.
+    :param attempts: number of attempts at backend servers.
     """
 
     request_id: str
@@ -33,18 +36,21 @@
     attempts: int = 0
 
     def note_admission(self, admission: Admission) -> None:
-        """Note the route and the customer."""
+        """Record the route, the pool and the customer."""
         self.route = admission.route.name
         self.pool = admission.route.pool
         self.customer = admission.customer
 
     def note_server(self, server: Server) -> None:
-        """Note an attempt."""
+        """Record an attempt at a backend server."""
         self.server = server.name
         self.attempts += 1
 
     def note_failure(self, failure: Failure) -> None:
-        """Note why there is no answer."""
+        """Record why the request failed.
+
+        A request that was answered before counts as answered.
+        """
         if isinstance(failure, AnsweredBefore):
             return
         is_not_run = isinstance(failure, NotRun)
@@ -54,7 +60,7 @@
 
 
 class Tracer:
-    """Opens traces, and hands each ended request on once."""
+    """Creates traces; logs and counts each request when it ends."""
 
     def __init__(
         self,
@@ -62,20 +68,24 @@
         clock: Clock,
         recorder: Recorder,
     ) -> None:
-        """Trace the requests of one gateway."""
+        """Trace the requests of one gateway.
+
+        :param identity: host of the gateway.
+        :param recorder: counts each ended request in the metrics.
+        """
         self._identity = identity
         self._clock = clock
         self._recorder = recorder
 
     def open(self, request_id: str) -> Trace:
-        """Start to trace a request that arrives now."""
+        """Return the trace of a request that arrives now."""
         clock = self._clock
         return Trace(request_id, clock.wall(), clock.monotonic())
 
     def close(self, trace: Trace, response: web.StreamResponse | None) -> None:
         """Log and count a request that ended.
 
-        :param response: None where the caller left or the gateway failed.
+        :param response: None if the caller disconnected or the gateway failed.
         """
         duration_s = self._clock.monotonic() - trace.started_at
         if response is None:
--- a/crocusshunt/gateway/tests/site.py
+++ b/crocusshunt/gateway/tests/site.py
@@ -1,4 +1,4 @@
-"""One gateway with backend servers and a table service, in one process."""
+"""Gateways with backend servers and a table service in one process."""
 
 import random
 from collections.abc import AsyncIterator, Iterable
@@ -17,8 +17,8 @@
     GatewaySettings,
 )
 from crocusshunt.gateway._handling import RequestHandler
+from crocusshunt.gateway._limit_errors import LimitError
 from crocusshunt.gateway._limits import Limiter
-from crocusshunt.gateway._refusals import LimitError
 from crocusshunt.keys import Key, digest_key
 from crocusshunt.messages import RequesterPool, SnapshotFeed
 from crocusshunt.routing import (
@@ -39,7 +39,7 @@
 COURT_KEY = 'ck_court_0123456789'
 BAR_KEY = 'ck_bar_9876543210'
 _LOOPBACK = '127.0.0.1'
-_NOBODY = 'tcp://127.0.0.1:1'
+_UNREACHABLE_ADDRESS = 'tcp://127.0.0.1:1'
 
 ROUTES = (
     Route(
@@ -74,14 +74,14 @@
     async def try_take(
         self,
         customer: str,
-        patience_s: float,
+        max_wait_s: float,
     ) -> Result[None, LimitError]:
         return Ok(None)
 
 
 @dataclass(slots=True)
 class Site:
-    """What a scenario can reach."""
+    """Running services of a test, and an HTTP client session."""
 
     gateways: list[GatewayService]
     backends: list[BackendService]
@@ -120,7 +120,7 @@
     section = GatewaySection(
         _LOOPBACK,
         0,
-        _NOBODY,
+        _UNREACHABLE_ADDRESS,
         key_evidence_s=1_000_000,
         answer_lifetime_s=0.1,
         finish_s=2,
@@ -137,7 +137,9 @@
     )
     handler = service._handler
     identifiers = Identifiers(random.Random(f'{name}-requests'))
-    limiter = _UnlimitedLimiter(_NOBODY, RequesterPool(), clock, identifiers)
+    limiter = _UnlimitedLimiter(
+        _UNREACHABLE_ADDRESS, RequesterPool(), clock, identifiers
+    )
     service._handler = RequestHandler(
         replace(handler._parts, limiter=limiter),
         clock,
@@ -156,7 +158,7 @@
     assert gateway.feed.accept_snapshot(snapshot, 0)
 
 
-def list_rows(backends: Iterable[BackendService]) -> tuple[Row, ...]:
+def create_rows(backends: Iterable[BackendService]) -> tuple[Row, ...]:
     servers = tuple(
         Server(
             backend.name,
@@ -202,7 +204,7 @@
     for number in range(gateways):
         gateway = create_gateway(platform, f'h{number}', clock, policy)
         await gateway.start()
-        configure(gateway, list_rows(backends))
+        configure(gateway, create_rows(backends))
         started.append(gateway)
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
--- a/crocusshunt/gateway/tests/test_claims.py
+++ b/crocusshunt/gateway/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""At most once, over hosts, faults of the store and lost answers."""
+"""Claimed requests run at most once, despite faults and several hosts."""
 
 import asyncio
 
@@ -35,74 +35,81 @@
     return MemoryPlatform()
 
 
-def _ledger(
+def _create_ledger(
     store: MemoryPlatform, clock: ManualClock, host: str
 ) -> ClaimLedger:
     return ClaimLedger(store, clock, Claimant(host, f'process-{host}', ''))
 
 
-def _request(attempt: str, fingerprint: str = 'f1') -> ClaimRequest:
+def _create_request(attempt: str, fingerprint: str = 'f1') -> ClaimRequest:
     return ClaimRequest('court', 'k1', fingerprint, attempt, deadline=10)
 
 
-async def test_other_host_sees_progress_then_unknown(
+async def test_other_host_sees_in_progress_then_unknown_outcome(
     store: MemoryPlatform, clock: ManualClock
 ) -> None:
-    await _ledger(store, clock, 'h1').claim(_request('r1'))
-    other = _ledger(store, clock, 'h2')
-    early = (await other.claim(_request('r2'))).unwrap_err()
+    await _create_ledger(store, clock, 'h1').claim(_create_request('r1'))
+    other = _create_ledger(store, clock, 'h2')
+    early = (await other.claim(_create_request('r2'))).unwrap_err()
     assert isinstance(early, UnknownOutcome)
     assert early.code == 'request-in-progress'
     clock.epoch += 16
-    late = (await other.claim(_request('r2'))).unwrap_err()
+    late = (await other.claim(_create_request('r2'))).unwrap_err()
     assert isinstance(late, UnknownOutcome)
     assert late.code == 'outcome-unknown'
 
 
-async def test_lost_answer_is_recognised_as_own(
+async def test_insert_with_lost_answer_is_recognised_as_own(
     store: MemoryPlatform, clock: ManualClock
 ) -> None:
     store.switches.lost_answers = 1
-    claimed = await _ledger(store, clock, 'h1').claim(_request('r1'))
+    claimed = await _create_ledger(store, clock, 'h1').claim(
+        _create_request('r1')
+    )
     assert claimed.unwrap().version == 1
-    # The same host and key, another attempt: not its own.
-    again = await _ledger(store, clock, 'h1').claim(_request('r2'))
+    # Another request with the same key at the same host is not the holder.
+    again = await _create_ledger(store, clock, 'h1').claim(
+        _create_request('r2')
+    )
     assert isinstance(again, Err)
 
 
 async def test_released_claim_is_free_and_delayed_release_harmless(
     store: MemoryPlatform, clock: ManualClock
 ) -> None:
-    one, two = _ledger(store, clock, 'h1'), _ledger(store, clock, 'h2')
-    held = (await one.claim(_request('r1'))).unwrap()
+    first_ledger, second_ledger = (
+        _create_ledger(store, clock, 'h1'),
+        _create_ledger(store, clock, 'h2'),
+    )
+    held = (await first_ledger.claim(_create_request('r1'))).unwrap()
     store.switches.lost_answers = 1
-    await one.record(held, ClaimState.released)
-    second = (await two.claim(_request('r2'))).unwrap()
-    await one.record(held, ClaimState.released)
-    third = await two.claim(_request('r3'))
+    await first_ledger.record(held, ClaimState.released)
+    second = (await second_ledger.claim(_create_request('r2'))).unwrap()
+    await first_ledger.record(held, ClaimState.released)
+    third = await second_ledger.claim(_create_request('r3'))
     assert isinstance(third, Err)
-    await two.record(
+    await second_ledger.record(
         second, ClaimState.answered, RecordedAnswer(201, 'text/plain', b'x')
     )
-    repeat = (await one.claim(_request('r4'))).unwrap_err()
+    repeat = (await first_ledger.claim(_create_request('r4'))).unwrap_err()
     assert repeat == RecordedAnswer(201, 'text/plain', b'x')
 
 
 async def test_expired_key_is_free_only_after_its_lifetime(
     store: MemoryPlatform, clock: ManualClock
 ) -> None:
-    await _ledger(store, clock, 'h1').claim(_request('r1'))
-    other = _ledger(store, clock, 'h2')
+    await _create_ledger(store, clock, 'h1').claim(_create_request('r1'))
+    other = _create_ledger(store, clock, 'h2')
     clock.epoch += CLAIM_LIFETIME_S
-    assert isinstance(await other.claim(_request('r2')), Err)
+    assert isinstance(await other.claim(_create_request('r2')), Err)
     clock.epoch += 61
-    assert isinstance(await other.claim(_request('r2')), Ok)
+    assert isinstance(await other.claim(_create_request('r2')), Ok)
 
 
 async def test_sweeper_removes_only_what_expired_long_ago(
     store: MemoryPlatform, clock: ManualClock
 ) -> None:
-    await _ledger(store, clock, 'h1').claim(_request('r1'))
+    await _create_ledger(store, clock, 'h1').claim(_create_request('r1'))
     sweeper = ClaimSweeper(store, clock)
     clock.epoch += CLAIM_LIFETIME_S * 2
     await sweeper.sweep()
@@ -116,7 +123,7 @@
     store: MemoryPlatform, clock: ManualClock
 ) -> None:
     clock.advance(10)
-    late = await _ledger(store, clock, 'h1').claim(_request('r1'))
+    late = await _create_ledger(store, clock, 'h1').claim(_create_request('r1'))
     assert isinstance(late.unwrap_err(), NotRun)
     assert (await store.read('claim', '')).unwrap() is None
     assert store.calls == 1
@@ -130,10 +137,10 @@
     monkeypatch.setattr(
         'crocusshunt.gateway._claiming._WITHDRAW_PAUSES_S', (0,)
     )
-    ledger = _ledger(store, clock, 'h1')
-    await ledger.claim(_request('r1'))
-    await ledger.withdraw(_request('r1'))
-    assert isinstance(await ledger.claim(_request('r2')), Ok)
+    ledger = _create_ledger(store, clock, 'h1')
+    await ledger.claim(_create_request('r1'))
+    await ledger.withdraw(_create_request('r1'))
+    assert isinstance(await ledger.claim(_create_request('r2')), Ok)
 
 
 async def test_repeat_at_another_host_gets_the_recorded_answer() -> None:
@@ -167,7 +174,7 @@
 @pytest.mark.parametrize(
     'fault', [Fault.die_before, Fault.die_during, Fault.hang]
 )
-async def test_lost_answer_of_a_server_never_runs_twice(fault: Fault) -> None:
+async def test_request_with_lost_answer_never_runs_twice(fault: Fault) -> None:
     async with run_site(gateways=2) as site:
         outcomes = []
         path = f'/ledger/7?fault={fault.value}'
--- a/crocusshunt/gateway/tests/test_drained.py
+++ b/crocusshunt/gateway/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Drains as the gateway sees them."""
+"""Drained servers are left out of the choice of servers."""
 
 import pytest
 
@@ -25,7 +25,7 @@
         (DrainKind.host, 'h1', ['s1', 's2']),
     ],
 )
-def test_drained_servers_get_no_new_work(
+def test_drained_servers_get_no_new_requests(
     kind: DrainKind,
     target: str,
     expected: list[str],
@@ -33,14 +33,14 @@
     feed = Feed(ManualClock())
     admission_control = AdmissionControl(feed, key_evidence_s=4)
     rows: tuple[Row, ...] = (Pool('verify'), *_SERVERS)
-    _put_in_force(feed, 1, rows)
+    _apply_rows(feed, 1, rows)
     assert len(admission_control.servers['verify']) == len(_SERVERS)
-    _put_in_force(feed, 2, (*rows, Drain('d', kind, target)))
+    _apply_rows(feed, 2, (*rows, Drain('d', kind, target)))
     names = [server.name for server in admission_control.servers['verify']]
     assert names == expected
 
 
-def _put_in_force(feed: Feed, revision: int, rows: tuple[Row, ...]) -> None:
+def _apply_rows(feed: Feed, revision: int, rows: tuple[Row, ...]) -> None:
     edits = tuple(
         Edit(find_row_table(row), row.name, None, encode_row(row))
         for row in rows
--- a/crocusshunt/gateway/tests/test_evidence.py
+++ b/crocusshunt/gateway/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""Keys and servers while the store or a change is uncertain."""
+"""Keys and servers without store access or with a pending change."""
 
 import pytest
 from result import Err
@@ -12,7 +12,7 @@
     seal_change,
 )
 from crocusshunt.core import ManualClock, parse_address
-from crocusshunt.gateway._admission import AdmissionControl, Ask
+from crocusshunt.gateway._admission import AdmissionControl, AdmissionRequest
 from crocusshunt.keys import Key, digest_key
 from crocusshunt.replication import Feed
 from crocusshunt.routing import (
@@ -26,10 +26,10 @@
     find_row_table,
 )
 from crocusshunt.witnesses import Announcement, Witness
-from crocusshunt.witnesses import Testimony as Given
+from crocusshunt.witnesses import Testimony as WitnessTestimony
 
 _SECRETS = {'court': 'ck_court_00', 'bar': 'ck_bar_00'}
-_SEATS = tuple(f'tcp://127.0.0.1:{port}' for port in (1, 2, 3))
+_WITNESS_ADDRESSES = tuple(f'tcp://127.0.0.1:{port}' for port in (1, 2, 3))
 _EVIDENCE_S = 4
 
 
@@ -52,7 +52,10 @@
             Key(name, 'court', digest_key(secret))
             for name, secret in _SECRETS.items()
         ),
-        *(Witness(f'w{seat[-1]}', seat, 'addis', 'a') for seat in _SEATS),
+        *(
+            Witness(f'w{address[-1]}', address, 'addis', 'a')
+            for address in _WITNESS_ADDRESSES
+        ),
     )
     edits = tuple(
         Edit(find_row_table(row), row.name, None, encode_row(row))
@@ -65,27 +68,31 @@
     return created
 
 
-def _ask(
+def _admit(
     admission_control: AdmissionControl, name: str, path: str = '/verify'
 ) -> str:
     presented = frozenset((_SECRETS[name],)) if name else frozenset[str]()
     client = parse_address('127.0.0.1').unwrap()
-    admitted = admission_control.admit(Ask('', path, 'GET', client, presented))
+    admitted = admission_control.admit(
+        AdmissionRequest('', path, 'GET', client, presented)
+    )
     if isinstance(admitted, Err):
         return admitted.err_value.code
     return admitted.ok_value.customer
 
 
-def _create(feed: Feed) -> AdmissionControl:
+def _create_admission_control(feed: Feed) -> AdmissionControl:
     admission_control = AdmissionControl(feed, _EVIDENCE_S)
     admission_control._rebuild(feed.configuration)
     return admission_control
 
 
-def _testify(feed: Feed, clock: ManualClock, *pending: Announcement) -> None:
-    for seat in _SEATS[1:]:
+def _accept_testimonies(
+    feed: Feed, clock: ManualClock, *pending: Announcement
+) -> None:
+    for address in _WITNESS_ADDRESSES[1:]:
         feed.accept_testimonies(
-            (Given(seat, 1, 2, pending),),
+            (WitnessTestimony(address, 1, 2, pending),),
             clock.monotonic(),
         )
 
@@ -94,34 +101,34 @@
     feed: Feed,
     clock: ManualClock,
 ) -> None:
-    admission_control = _create(feed)
-    assert _ask(admission_control, 'court') == 'court'
+    admission_control = _create_admission_control(feed)
+    assert _admit(admission_control, 'court') == 'court'
     clock.advance(_EVIDENCE_S + 1)
-    assert _ask(admission_control, 'court') == 'key-evidence-stale'
-    assert _ask(admission_control, '', '/open') == ''
+    assert _admit(admission_control, 'court') == 'key-evidence-stale'
+    assert _admit(admission_control, '', '/open') == ''
 
 
-def test_witnesses_keep_keys_honoured(feed: Feed, clock: ManualClock) -> None:
-    admission_control = _create(feed)
+def test_testimonies_keep_keys_accepted(feed: Feed, clock: ManualClock) -> None:
+    admission_control = _create_admission_control(feed)
     clock.advance(_EVIDENCE_S + 1)
-    _testify(feed, clock)
-    assert _ask(admission_control, 'court') == 'court'
+    _accept_testimonies(feed, clock)
+    assert _admit(admission_control, 'court') == 'court'
 
 
-def test_pending_change_suspends_what_it_names(
+def test_pending_change_suspends_keys_and_servers_it_names(
     feed: Feed,
     clock: ManualClock,
 ) -> None:
-    admission_control = _create(feed)
+    admission_control = _create_admission_control(feed)
     pending = Announcement('c2', 2, 2, keys=('court',), servers=('s1',))
-    _testify(feed, clock, pending)
-    assert _ask(admission_control, 'court') == 'key-suspended'
-    assert _ask(admission_control, 'bar') == 'court'
+    _accept_testimonies(feed, clock, pending)
+    assert _admit(admission_control, 'court') == 'key-suspended'
+    assert _admit(admission_control, 'bar') == 'court'
     servers = admission_control.servers['verify']
     assert [server.name for server in servers] == ['s2']
     clock.advance(1)
-    _testify(feed, clock)
-    assert _ask(admission_control, 'court') == 'court'
+    _accept_testimonies(feed, clock)
+    assert _admit(admission_control, 'court') == 'court'
 
 
 def test_suspension_lasts_as_long_as_evidence_is_trusted(
@@ -130,6 +137,6 @@
 ) -> None:
     admission_control = AdmissionControl(feed, 3 * _EVIDENCE_S)
     admission_control._rebuild(feed.configuration)
-    _testify(feed, clock, Announcement('c2', 2, 2, keys=('court',)))
+    _accept_testimonies(feed, clock, Announcement('c2', 2, 2, keys=('court',)))
     clock.advance(2 * _EVIDENCE_S)
-    assert _ask(admission_control, 'court') == 'key-suspended'
+    assert _admit(admission_control, 'court') == 'key-suspended'
--- a/crocusshunt/gateway/tests/test_faults.py
+++ b/crocusshunt/gateway/tests/test_faults.py
@@ -13,7 +13,7 @@
     COURT_KEY,
     Site,
     configure,
-    list_rows,
+    create_rows,
     run_site,
 )
 from crocusshunt.routing import Server, ServerState
@@ -31,29 +31,31 @@
     return sum(backend.received for backend in site.backends)
 
 
-async def test_short_answer_breaks_the_callers_connection() -> None:
+async def test_truncated_answer_aborts_the_callers_connection() -> None:
     async with run_site() as site:
         with pytest.raises(aiohttp.ClientPayloadError):
             await _get_json(site, '/verify/1?fault=short-body')
         assert _count_received(site) == 1
 
 
-async def test_chunked_answer_that_breaks_off_looks_broken() -> None:
-    async def die_in_chunks(
-        source: asyncio.StreamReader, sink: asyncio.StreamWriter
+async def test_truncated_chunked_answer_aborts_the_callers_connection() -> None:
+    async def close_within_chunked_answer(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        await source.readuntil(b'\r\n\r\n')
-        sink.write(
+        await reader.readuntil(b'\r\n\r\n')
+        writer.write(
             b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
             b'5\r\nhello\r\n'
         )
-        await sink.drain()
-        sink.close()
+        await writer.drain()
+        writer.close()
 
-    server = await asyncio.start_server(die_in_chunks, '127.0.0.1', 0)
+    server = await asyncio.start_server(
+        close_within_chunked_answer, '127.0.0.1', 0
+    )
     port = server.sockets[0].getsockname()[1]
     async with run_site(servers=0) as site:
-        rows = list_rows(())
+        rows = create_rows(())
         only = Server(
             's', 'verify', f'127.0.0.1:{port}', 'addis', 'addis-a', slots=4
         )
@@ -63,9 +65,9 @@
     server.close()
 
 
-async def test_overlong_answer_is_cut_and_never_reaches_the_next() -> None:
-    # Surplus in the same read as the answer makes the client library refuse
-    # the answer; the surplus itself must never show.
+async def test_surplus_of_overlong_answer_never_reaches_a_caller() -> None:
+    # Surplus bytes in the same read as the answer make the client library
+    # reject the answer (502); the surplus must never reach a caller.
     async with run_site(servers=1) as site:
         for number in range(20):
             path = f'/verify/{number}?fault=overlong-body'
@@ -86,7 +88,7 @@
         assert (status, problem['outcome']) == (502, 'unknown')
 
 
-async def test_answer_without_provable_end_is_not_relayed() -> None:
+async def test_answer_without_framing_is_not_relayed() -> None:
     async with run_site() as site:
         status, problem = await _get_json(site, '/verify/1?fault=unframed')
         assert (status, problem['outcome']) == (502, 'unknown')
@@ -102,7 +104,7 @@
         assert site.backends[0].received < 20
 
 
-async def test_write_that_lost_its_server_is_unknown_and_not_resent() -> None:
+async def test_write_whose_server_crashed_is_unknown_and_not_resent() -> None:
     async with run_site() as site:
         async with site.request(
             'POST', '/ledger/1?fault=die-before', body=b'x'
@@ -141,7 +143,7 @@
             assert (await answer.json())['outcome'] == 'not_run'
 
 
-async def test_caller_that_left_frees_its_slot() -> None:
+async def test_disconnected_caller_frees_its_slot() -> None:
     async with run_site(servers=1) as site:
         calls = [
             asyncio.create_task(_get_json(site, '/verify/1?fault=hang'))
@@ -180,13 +182,13 @@
         await asyncio.gather(*slow)
 
 
-async def test_servers_of_the_own_region_come_first() -> None:
+async def test_servers_of_the_own_region_are_preferred() -> None:
     async with run_site() as site:
         rows = [
             replace(row, region='dire')
             if isinstance(row, Server) and row.name != 's1'
             else row
-            for row in list_rows(site.backends)
+            for row in create_rows(site.backends)
         ]
         configure(site.gateways[0], rows)
         slow = [
@@ -210,13 +212,13 @@
         assert 1000 < int(headers['X-Request-Deadline-Ms']) <= 2000
 
 
-async def test_leaving_server_gets_no_new_work() -> None:
+async def test_draining_server_gets_no_new_requests() -> None:
     async with run_site() as site:
         rows = [
             replace(row, state=ServerState.draining)
             if isinstance(row, Server) and row.name != 's1'
             else row
-            for row in list_rows(site.backends)
+            for row in create_rows(site.backends)
         ]
         configure(site.gateways[0], rows)
         for _ in range(10):
@@ -224,7 +226,7 @@
             assert received['server'] == 's1'
 
 
-async def test_large_bodies_cross_whole() -> None:
+async def test_large_bodies_are_relayed_completely() -> None:
     body = b'x' * _BIG_BYTES
     async with run_site(servers=1) as site:
 
@@ -244,7 +246,7 @@
 
 
 @pytest.mark.parametrize('servers', [1, 6])
-async def test_poison_request_crashes_servers_twice_over_all_hosts(
+async def test_crashing_request_is_quarantined_on_all_hosts_after_two_crashes(
     servers: int,
 ) -> None:
     async with run_site(servers=servers, gateways=3) as site:
--- a/crocusshunt/gateway/tests/test_framing.py
+++ b/crocusshunt/gateway/tests/test_framing.py
@@ -1,4 +1,4 @@
-"""Requests byte by byte: smuggling, forged headers, limits, 100-continue."""
+"""Raw requests: smuggling, forged headers, size limits, 100-continue."""
 
 import asyncio
 import re
@@ -14,7 +14,7 @@
 _MANY_HEADERS = ''.join(
     ['Host: a\r\n', *(f'X-{number}: a\r\n' for number in range(200))],
 )
-_FIXED = settings(
+_PROPERTY_SETTINGS = settings(
     derandomize=True,
     max_examples=40,
     deadline=None,
@@ -22,12 +22,15 @@
 )
 
 
-async def _send(site: Site, text: str, *, ends: bool = False) -> bytes:
-    """Send bytes and return one answer, with a 100 Continue before it."""
+async def _send(site: Site, text: str, *, is_eof_sent: bool = False) -> bytes:
+    """Send a raw request; return its response, preceded by any 100 Continue.
+
+    :param is_eof_sent: whether the sending side is closed after the text.
+    """
     port = site.gateways[0].port
     reader, writer = await asyncio.open_connection('127.0.0.1', port)
     writer.write(text.encode('latin-1'))
-    if ends:
+    if is_eof_sent:
         writer.write_eof()
     try:
         async with asyncio.timeout(5):
@@ -115,41 +118,43 @@
         assert b'HTTP/1.1 200 OK' in admitted
 
 
-async def test_body_that_ends_early_never_runs() -> None:
+async def test_request_with_truncated_body_never_runs() -> None:
     async with run_site(servers=1) as site:
         await _send(
             site,
             'POST /ledger/1 HTTP/1.1\r\nHost: a\r\nContent-Length: 40\r\n'
             f'{_KEY_LINE}\r\nabcd',
-            ends=True,
+            is_eof_sent=True,
         )
         assert not site.runs.runs
 
 
-_NAMES = st.text(alphabet=st.sampled_from('abcXYZ-_0'), min_size=1, max_size=12)
-_TEXTS = st.text(
+_HEADER_NAMES = st.text(
+    alphabet=st.sampled_from('abcXYZ-_0'), min_size=1, max_size=12
+)
+_HEADER_VALUES = st.text(
     alphabet=st.characters(min_codepoint=0, max_codepoint=255), max_size=24
 )
 
 
-def test_any_headers_keep_the_promises() -> None:
+def test_arbitrary_headers_never_leak_keys_or_forge_the_customer() -> None:
     with asyncio.Runner() as runner:
         context = run_site(servers=1)
         site = runner.run(context.__aenter__())
 
-        @_FIXED
+        @_PROPERTY_SETTINGS
         @given(
-            st.lists(st.tuples(_NAMES, _TEXTS), max_size=5),
-            _mix_key_names(),
+            st.lists(st.tuples(_HEADER_NAMES, _HEADER_VALUES), max_size=5),
+            _create_key_headers(),
         )
-        def check(headers: list[tuple[str, str]], carrier: str) -> None:
-            runner.run(_check_headers(site, headers, carrier))
+        def check(headers: list[tuple[str, str]], key_headers: str) -> None:
+            runner.run(_check_headers(site, headers, key_headers))
 
         check()
         runner.run(context.__aexit__(None, None, None))
 
 
-def _mix_key_names() -> st.SearchStrategy[str]:
+def _create_key_headers() -> st.SearchStrategy[str]:
     return st.sampled_from(
         (
             f'x-API-key: {COURT_KEY}',
@@ -165,7 +170,7 @@
 async def _check_headers(
     site: Site,
     headers: list[tuple[str, str]],
-    carrier: str,
+    key_headers: str,
 ) -> None:
     lines = ''.join(f'{name}: {text}\r\n' for name, text in headers)
     before = site.backends[0].received
@@ -173,7 +178,7 @@
         site,
         f'GET /verify/1?API_key={COURT_KEY} HTTP/1.1\r\nHost: a\r\n'
         f'X-Customer: bar\r\nX_CUSTOMER: bar\r\nConnection: close\r\n'
-        f'{carrier}\r\n{lines}\r\n',
+        f'{key_headers}\r\n{lines}\r\n',
     )
     assert site.backends[0].received - before <= 1
     head, _separator, body = answer.partition(b'\r\n\r\n')
--- a/crocusshunt/gateway/tests/test_resets.py
+++ b/crocusshunt/gateway/tests/test_resets.py
@@ -1,4 +1,4 @@
-"""Connections that end at any step, and gateways that wake late."""
+"""Server connections reset at any step, and a gateway that was paused."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -11,7 +11,7 @@
 from crocusshunt.gateway.tests.site import (
     COURT_KEY,
     configure,
-    list_rows,
+    create_rows,
     run_site,
 )
 from crocusshunt.routing import Server
@@ -20,7 +20,7 @@
 
 
 class _ResettingServer:
-    """Resets each connection after it read some bytes."""
+    """Server that resets each connection after reading some bytes."""
 
     def __init__(self, read_bytes: int) -> None:
         self.read_bytes = read_bytes
@@ -53,13 +53,13 @@
             yield _CHUNK
             await asyncio.sleep(0)
 
-    fragile = _ResettingServer(read_bytes)
+    resetting = _ResettingServer(read_bytes)
     async with (
-        fragile.run('s-1') as one,
-        fragile.run('s-2') as two,
+        resetting.run('s-1') as first,
+        resetting.run('s-2') as second,
         run_site(servers=0) as site,
     ):
-        configure(site.gateways[0], (*list_rows(()), one, two))
+        configure(site.gateways[0], (*create_rows(()), first, second))
         async with site.session.post(
             f'{site.url}/ledger/1',
             data=chunks() if is_streamed else _CHUNK * 20,
@@ -67,10 +67,10 @@
         ) as answer:
             problem = await answer.json()
         assert problem['outcome'] == 'unknown'
-        assert fragile.connections == 1
+        assert resetting.connections == 1
 
 
-async def test_gateway_that_wakes_late_does_not_dispatch() -> None:
+async def test_gateway_paused_past_the_deadline_does_not_dispatch() -> None:
     clock = ManualClock(epoch=1000)
     async with run_site(servers=2, clock=clock) as site:
         site.platform.platform.switches.delay_s = 0.2
--- a/crocusshunt/gateway/tests/test_shares.py
+++ b/crocusshunt/gateway/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares of shifts, whatever room the servers have."""
+"""Region shares of shifts, with and without free slots in the target."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,12 +14,14 @@
     st.floats(min_value=0, max_value=1),
     st.lists(st.booleans(), max_size=200),
 )
-def test_share_is_never_exceeded(share: float, has_room: list[bool]) -> None:
+def test_share_is_never_exceeded(
+    share: float, slot_availability: list[bool]
+) -> None:
     split = RegionSplit('addis')
     split.replace({_POOL: (RegionShare('dire', share),)})
-    for number, has_target_room in enumerate(has_room, start=1):
+    for number, has_free_slot in enumerate(slot_availability, start=1):
         chosen = split.choose(_POOL)
-        split.commit(_POOL, chosen if has_target_room else 'addis')
+        split.commit(_POOL, chosen if has_free_slot else 'addis')
         assert split.count(_POOL, 'dire') <= share * number
 
 
@@ -31,7 +33,7 @@
     assert split.count(_POOL, 'dire') == 300
 
 
-def test_raised_share_does_not_make_up_for_the_past() -> None:
+def test_raised_share_counts_from_zero() -> None:
     split = RegionSplit('addis')
     split.replace({_POOL: (RegionShare('dire', 0.1),)})
     for _ in range(1000):
--- a/crocusshunt/gateway/tests/test_stop.py
+++ b/crocusshunt/gateway/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops."""
+"""Graceful stops of a gateway."""
 
 import asyncio
 import logging
@@ -31,7 +31,7 @@
         stopping = asyncio.create_task(gateway.stop())
         await asyncio.sleep(0.02)
         assert phases == ['off the locator']
-        # Callers that hold an old answer of the locator are still served.
+        # Callers that still use an earlier locator answer are served.
         assert await _call(site, 0) == (200, 'close')
         assert await asyncio.gather(*running) == [
             (200, 'close') for _ in range(8)
@@ -41,7 +41,7 @@
             await _call(site, 0)
 
 
-async def test_bound_ends_the_stop_and_names_what_it_cut(
+async def test_stop_cancels_and_logs_requests_at_its_timeout(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async with run_site(servers=1) as site:
@@ -53,7 +53,7 @@
         started_at = loop.time()
         with caplog.at_level(logging.WARNING):
             await gateway.stop()
-        # The bound is 2 s; the request would have taken 8.
+        # The timeout (finish_s) is 2 s; the request would take 8 s.
         assert loop.time() - started_at < 6
         record = caplog.records[-1]
         assert record.getMessage() == 'requests finished for the stop'
@@ -62,7 +62,7 @@
             await running
 
 
-async def test_closed_gateway_refuses_truthfully() -> None:
+async def test_closed_gateway_refuses_as_not_run() -> None:
     async with run_site(servers=1) as site:
         await site.gateways[0]._in_flight.finish(0)
         async with site.request('GET', '/verify/1') as answer:
