--- a/crocusshunt/shifts/__init__.py
+++ b/crocusshunt/shifts/__init__.py
@@ -1,4 +1,4 @@
-"""Planned shifts of load from one region to another."""
+"""Planned shifts of a pool's load from one region to another."""
 
 from crocusshunt.shifts import _checks  # noqa: F401
 from crocusshunt.shifts._commands import (
@@ -11,7 +11,6 @@
     reverse_shift,
     start_shift,
 )
-from crocusshunt.shifts._jumps import find_jumps
 from crocusshunt.shifts._preview import (
     RegionShare,
     ShiftPreview,
@@ -19,6 +18,7 @@
     preview_shift,
 )
 from crocusshunt.shifts._rows import Shift, ShiftState
+from crocusshunt.shifts._step_limits import find_step_violations
 from crocusshunt.shifts._steps import (
     HeldStepError,
     StepInputs,
@@ -36,8 +36,8 @@
     'ShiftStateError',
     'StepInputs',
     'StepSettings',
-    'find_jumps',
     'find_region_shares',
+    'find_step_violations',
     'finish_shift',
     'list_commands',
     'pause_shift',
--- a/crocusshunt/shifts/_checks.py
+++ b/crocusshunt/shifts/_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the shifts in a set of tables."""
+"""Validation of the shifts in the configuration tables."""
 
 from collections.abc import Iterator
 from itertools import combinations
@@ -9,7 +9,7 @@
 
 
 @register_check
-def _check_names(tables: Tables) -> Iterator[Fault]:
+def _check_references(tables: Tables) -> Iterator[Fault]:
     regions = {row.region for row in tables.select(FailureDomain)}
     for shift in tables.select(Shift):
         place = f'shift {shift.name}'
@@ -21,7 +21,7 @@
                 problem = f"region '{name}' does not exist"
                 yield Fault(place, problem, allowed)
         if shift.source == shift.target:
-            yield Fault(place, 'source and target are one region')
+            yield Fault(place, 'source and target are the same region')
 
 
 @register_check
--- a/crocusshunt/shifts/_rows.py
+++ b/crocusshunt/shifts/_rows.py
@@ -1,4 +1,4 @@
-"""Rows of planned shifts of load."""
+"""Configuration rows of shifts of load between regions."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -16,7 +16,7 @@
 
 
 class ShiftState(str, Enum):
-    """What an operator wants of a shift."""
+    """State of a shift; operators and controllers change it."""
 
     planned = 'planned'
     running = 'running'
@@ -28,15 +28,19 @@
 @register_table('shift')
 @dataclass(frozen=True, slots=True)
 class Shift:
-    """Moves a share of a pool's load from one region to another, in steps.
+    """Shift that moves a share of a pool's load to another region in steps.
 
-    Operators set all but the last two fields; controllers advance these.
+    Operators set all fields except ``step`` and ``moved``, which the
+    controllers update with each step.
 
+    :param pool: name of the pool.
+    :param source: region whose load is moved.
+    :param target: region that receives the load.
     :param share: share of the source region's load to move, 0 to 1.
-    :param step_share: greatest share moved by one step.
-    :param pace_s: least time between two steps, in seconds.
-    :param step: number of steps done so far, forwards and back.
-    :param moved: share moved so far.
+    :param step_share: maximum share moved by one step, 0 to 1.
+    :param pace_s: minimum time between two steps, in seconds.
+    :param step: number of steps taken so far, in both directions.
+    :param moved: share moved so far, 0 to 1.
     """
 
     name: Name
--- a/crocusshunt/shifts/tests/test_shifts.py
+++ b/crocusshunt/shifts/tests/test_shifts.py
@@ -1,4 +1,4 @@
-"""Steps of a shift under measurements that stop, lag and lie."""
+"""Steps of a shift with missing, delayed and wrong measurements."""
 
 from dataclasses import replace
 
@@ -16,8 +16,8 @@
     ShiftStateError,
     StepInputs,
     StepSettings,
-    find_jumps,
     find_region_shares,
+    find_step_violations,
     list_commands,
     plan_step,
 )
@@ -36,74 +36,90 @@
 _LINK = LinkLoad(mbits=100)
 
 
-def _facts(
+def _create_inputs(
     source: PoolLoad | None = _SOURCE,
     target: PoolLoad | None = _TARGET,
     link: LinkLoad | None = _LINK,
 ) -> StepInputs:
     pools = {('verify', 'addis'): source, ('verify', 'dire'): target}
-    known = {place: load for place, load in pools.items() if load is not None}
+    measured = {
+        place: load for place, load in pools.items() if load is not None
+    }
     links = {} if link is None else {('addis', 'dire'): link}
-    return StepInputs(Readings(known, links), 280, since_step_s=60)
+    return StepInputs(Readings(measured, links), 280, since_step_s=60)
 
 
-def _explain(facts: StepInputs, shift: Shift = _SHIFT) -> str:
-    return plan_step(shift, facts, StepSettings()).unwrap_err().reason
+def _get_held_reason(inputs: StepInputs, shift: Shift = _SHIFT) -> str:
+    return plan_step(shift, inputs, StepSettings()).unwrap_err().reason
 
 
-def test_step_is_within_its_cap() -> None:
-    """A step moves its share and counts up."""
-    stepped = plan_step(_SHIFT, _facts(), StepSettings()).unwrap()
+def test_step_moves_its_share() -> None:
+    """A step adds its share and increments the step number."""
+    stepped = plan_step(_SHIFT, _create_inputs(), StepSettings()).unwrap()
     assert (stepped.moved, stepped.step) == (0.1, 1)
 
 
 @pytest.mark.parametrize(
-    ('facts', 'obstacle'),
+    ('inputs', 'obstacle'),
     [
-        (_facts(target=None), Obstacle.missing),
-        (_facts(link=None), Obstacle.missing),
-        (_facts(source=replace(_SOURCE, age_s=11)), Obstacle.stale),
-        (_facts(target=replace(_TARGET, busy=-1)), Obstacle.implausible),
-        (_facts(target=replace(_TARGET, busy=21)), Obstacle.implausible),
-        (_facts(link=LinkLoad(float('nan'))), Obstacle.implausible),
-        (_facts(target=replace(_TARGET, busy=15.5)), Obstacle.no_room),
-        (_facts(target=replace(_TARGET, errors=0.1)), Obstacle.errors),
-        (_facts(target=replace(_TARGET, slowdown=2)), Obstacle.cold),
-        (_facts(link=LinkLoad(220)), Obstacle.link_full),
+        (_create_inputs(target=None), Obstacle.missing),
+        (_create_inputs(link=None), Obstacle.missing),
+        (_create_inputs(source=replace(_SOURCE, age_s=11)), Obstacle.stale),
+        (
+            _create_inputs(target=replace(_TARGET, busy=-1)),
+            Obstacle.implausible,
+        ),
+        (
+            _create_inputs(target=replace(_TARGET, busy=21)),
+            Obstacle.implausible,
+        ),
+        (_create_inputs(link=LinkLoad(float('nan'))), Obstacle.implausible),
+        (_create_inputs(target=replace(_TARGET, busy=15.5)), Obstacle.no_room),
+        (_create_inputs(target=replace(_TARGET, errors=0.1)), Obstacle.errors),
+        (_create_inputs(target=replace(_TARGET, slowdown=2)), Obstacle.cold),
+        (_create_inputs(link=LinkLoad(220)), Obstacle.link_full),
     ],
 )
-def test_obstacles_hold_a_step(facts: StepInputs, obstacle: Obstacle) -> None:
-    """Each safety check holds the step and says why."""
-    assert _explain(facts) == obstacle.value
+def test_obstacles_prevent_a_step(
+    inputs: StepInputs, obstacle: Obstacle
+) -> None:
+    """Each safety check prevents the step and names the reason."""
+    assert _get_held_reason(inputs) == obstacle.value
+
 
+def test_measurement_older_than_last_step_prevents_a_step() -> None:
+    """No step is taken on a measurement from before the last step.
 
-def test_measurement_older_than_the_last_step_holds() -> None:
-    """Load that lags by more than the pace never lets a step pass."""
-    facts = replace(_facts(), since_step_s=31)
-    lagging = replace(_SHIFT, pace_s=2)
-    old = replace(_TARGET, age_s=3)
-    late = replace(_facts(target=old), since_step_s=2.5)
-    assert plan_step(lagging, facts, StepSettings()).is_ok()
-    assert _explain(late, lagging) == Obstacle.stale.value
-    soon = replace(_facts(), since_step_s=29)
-    assert 'pace' in _explain(soon)
+    This holds even if the time since that step exceeds the pace, before which
+    no step is taken at all.
+    """
+    inputs = replace(_create_inputs(), since_step_s=31)
+    fast_shift = replace(_SHIFT, pace_s=2)
+    outdated_target = replace(_TARGET, age_s=3)
+    outdated_inputs = replace(
+        _create_inputs(target=outdated_target), since_step_s=2.5
+    )
+    assert plan_step(fast_shift, inputs, StepSettings()).is_ok()
+    assert _get_held_reason(outdated_inputs, fast_shift) == Obstacle.stale.value
+    too_early = replace(_create_inputs(), since_step_s=29)
+    assert 'pace' in _get_held_reason(too_early)
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(
     st.lists(
-        st.sampled_from(('step', 'blind', *list_commands())),
+        st.sampled_from(('step', 'step-unmeasured', *list_commands())),
         max_size=60,
     ),
     st.floats(0.05, 1),
     st.floats(0.01, 1),
 )
-def test_no_order_of_commands_breaks_the_cap(
+def test_no_command_sequence_exceeds_the_step_share(
     commands: list[str],
     share: float,
     step_share: float,
 ) -> None:
-    """Each change moves at most a step's share and stays within the share."""
+    """Each change moves at most one step share, within the total share."""
     shift = replace(
         _SHIFT,
         state=ShiftState.planned,
@@ -112,37 +128,39 @@
     )
     source = replace(_SOURCE, offered=1, mbits=1)
     for command in commands:
-        before = shift
+        previous = shift
         stepped: Result[Shift, HeldStepError | ShiftStateError]
-        if command in {'step', 'blind'}:
-            facts = _facts(None if command == 'blind' else source)
-            stepped = plan_step(shift, facts, StepSettings())
+        if command in {'step', 'step-unmeasured'}:
+            inputs = _create_inputs(
+                None if command == 'step-unmeasured' else source
+            )
+            stepped = plan_step(shift, inputs, StepSettings())
         else:
             stepped = list_commands()[command](shift)
         shift = stepped.unwrap_or(shift)
-        change = abs(shift.moved - before.moved)
+        change = abs(shift.moved - previous.moved)
         assert change <= step_share + 1e-6
         assert 0 <= shift.moved <= share
         if command != 'step':
             assert change == 0
-        if isinstance(stepped, Ok) and command in {'step', 'blind'}:
-            assert shift.step == before.step + 1
+        if isinstance(stepped, Ok) and command in {'step', 'step-unmeasured'}:
+            assert shift.step == previous.step + 1
 
 
-def test_reversal_goes_back_in_steps_and_ends() -> None:
-    """A finished shift moves back to nothing before it is planned again."""
+def test_reversal_moves_load_back_in_steps() -> None:
+    """A reversed shift returns all its load before it is planned again."""
     shift = replace(_SHIFT, state=ShiftState.finished, moved=0.25, step=3)
     shift = list_commands()['reverse'](shift).unwrap()
     moved = []
     while shift.state is ShiftState.reversing:
-        shift = plan_step(shift, _facts(), StepSettings()).unwrap()
+        shift = plan_step(shift, _create_inputs(), StepSettings()).unwrap()
         moved.append(shift.moved)
     assert moved == [0.15, 0.05, 0, 0]
     assert shift.state is ShiftState.planned
 
 
 def test_conflicting_shifts_are_refused() -> None:
-    """Two shifts of a pool may not touch one region; planned ones may."""
+    """Active shifts of a pool may not share a region; planned ones may."""
     tables = Tables().put(
         Pool('verify'),
         FailureDomain('a', 'addis'),
@@ -157,8 +175,8 @@
     assert not find_faults(tables.put(planned))
 
 
-def test_shares_are_those_of_the_gateways_region() -> None:
-    """A gateway moves what shifts say of its own region and pool."""
+def test_region_shares_match_source_region_and_pool() -> None:
+    """Shares are found only for the source region and pool of a shift."""
     tables = Tables().put(replace(_SHIFT, moved=0.2))
     shares = find_region_shares(tables, 'verify', 'addis')
     assert shares == (RegionShare('dire', 0.2),)
@@ -176,9 +194,9 @@
         (replace(_SHIFT, moved=0.5, step_share=1), 'moves more than one step'),
     ],
 )
-def test_edits_that_jump_are_found(row: Shift, problem: str) -> None:
-    """An edit may not move what a step may not."""
-    before = Tables().put(replace(_SHIFT, moved=0.2))
-    faults = find_jumps(before, Tables().put(row))
+def test_edits_beyond_one_step_are_refused(row: Shift, problem: str) -> None:
+    """An edit may not move more load than one step."""
+    previous = Tables().put(replace(_SHIFT, moved=0.2))
+    faults = find_step_violations(previous, Tables().put(row))
     assert bool(faults) == bool(problem)
     assert all(problem in fault.problem for fault in faults)
