--- a/crocusshunt/drains/__init__.py
+++ b/crocusshunt/drains/__init__.py
@@ -1,10 +1,10 @@
 """Drains of servers, pools, hosts, failure domains and regions."""
 
 from crocusshunt.drains import _checks  # noqa: F401
-from crocusshunt.drains._places import DrainIndex
+from crocusshunt.drains._index import DrainIndex
 from crocusshunt.drains._preview import (
     NoRoomError,
-    PoolMove,
+    PoolImpact,
     check_room,
     preview_drain,
 )
@@ -14,7 +14,7 @@
     DrainProgress,
     DrainStage,
     find_bounds,
-    has_hosts,
+    has_entry_hosts,
     measure_progress,
 )
 from crocusshunt.drains._rows import Drain, DrainKind
@@ -28,10 +28,10 @@
     'DrainProgress',
     'DrainStage',
     'NoRoomError',
-    'PoolMove',
+    'PoolImpact',
     'check_room',
     'find_bounds',
-    'has_hosts',
+    'has_entry_hosts',
     'measure_progress',
     'preview_drain',
 )
--- a/crocusshunt/drains/_places.py
+++ b/crocusshunt/drains/_index.py
@@ -1,4 +1,4 @@
-"""What the drains of a configuration empty."""
+"""Index of the servers and hosts that are being drained."""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -8,23 +8,23 @@
 
 
 class DrainIndex:
-    """Tells whether servers and hosts are to be emptied.
+    """Finds whether any drain of a configuration covers a server or host.
 
-    >>> places = DrainIndex((Drain('d', DrainKind.region, 'dire'),))
+    >>> index = DrainIndex((Drain('d', DrainKind.region, 'dire'),))
     >>> host = HostEntry('h1', 'dire', 'dire-a', 'http://h1', '')
-    >>> places.is_host_draining(host)
+    >>> index.is_host_draining(host)
     True
     """
 
     def __init__(self, drains: Iterable[Drain]) -> None:
-        """Index the drains."""
+        """Index the drains of a configuration."""
         targets: dict[DrainKind, set[str]] = {kind: set() for kind in DrainKind}
         for drain in drains:
             targets[drain.kind].add(drain.target)
         self._targets: Mapping[DrainKind, Collection[str]] = targets
 
     def is_server_draining(self, server: Server) -> bool:
-        """Tell whether a backend server gets no new work."""
+        """Return whether a backend server receives no new requests."""
         if server.state is ServerState.draining:
             return True
         return any(
@@ -38,7 +38,7 @@
         )
 
     def is_host_draining(self, host: HostEntry) -> bool:
-        """Tell whether look-ups leave a host out."""
+        """Return whether look-ups omit an entry host."""
         return any(
             name in self._targets[kind]
             for kind, name in (
--- a/crocusshunt/drains/_progress.py
+++ b/crocusshunt/drains/_progress.py
@@ -1,4 +1,4 @@
-"""How far a drain is, and when it is safe to switch off."""
+"""Progress of a drain until its target can be switched off."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,25 +7,25 @@
 from crocusshunt.routing import Route, Tables
 
 _MILLISECONDS = 1000
-_GREATEST_AGE_S = 5
+_MAX_AGE_S = 5
 
 
 class DrainStage(str, Enum):
-    """Stages of a drain, in their order."""
+    """Stages of a drain, in chronological order."""
 
-    spreading = 'gateways and locators are learning of it'
-    cached = 'callers may still hold answers that name it'
+    propagating = 'gateways and locators are learning of it'
+    cache_expiring = 'callers may still hold answers that name it'
     finishing = 'requests that began before are running'
     safe = 'safe to switch off'
 
 
 @dataclass(frozen=True, slots=True)
 class DrainBounds:
-    """Longest times of the stages, in seconds.
+    """Maximum durations of the stages of a drain, in seconds.
 
-    :param propagation_s: until a change is in force everywhere.
-    :param lifetime_s: for which callers keep an answer of the locator.
-    :param deadline_s: for which a request may run.
+    :param propagation_s: time until a change is in force on every host.
+    :param lifetime_s: time for which callers cache an answer of the locator.
+    :param deadline_s: time for which a request may run.
     """
 
     propagation_s: float
@@ -35,11 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainObservation:
-    """What was seen of a drain.
+    """Observed state of a drain.
 
-    :param elapsed_s: time since the change was accepted, in seconds.
-    :param running: requests that it still runs, None if not measured.
-    :param age_s: time since that was measured, in seconds.
+    :param elapsed_s: time since the drain was accepted, in seconds.
+    :param running: number of requests that still run on the drain's target,
+        None if not measured.
+    :param age_s: time since this number was measured, in seconds.
     """
 
     elapsed_s: float
@@ -49,9 +50,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainProgress:
-    """How far a drain is.
-
-    :param remaining_s: longest time until it is safe to switch off.
+    """Progress of a drain.
+
+    :param stage: current stage.
+    :param remaining_s: maximum time, in seconds, until the target can be
+        switched off; 0 if it is safe. It can be 0 before, while requests run
+        past their deadline.
+    :param running: number of requests that still run on the drain's target,
+        None if not measured.
     """
 
     stage: DrainStage
@@ -60,7 +66,7 @@
 
     @property
     def is_safe(self) -> bool:
-        """Tell whether the drained part may be switched off."""
+        """Return whether the drain's target may be switched off."""
         return self.stage is DrainStage.safe
 
 
@@ -69,10 +75,15 @@
     propagation_s: float,
     lifetime_s: float,
 ) -> DrainBounds:
-    """Return the bounds that follow from the configuration.
+    """Return the maximum durations of the stages for a configuration.
+
+    The request deadline is the longest one of all routes.
 
-    :param propagation_s: until a change is in force everywhere, in seconds.
-    :param lifetime_s: of the locator's answers, in seconds.
+    :param tables: the configuration in force.
+    :param propagation_s: time until a change is in force on every host, in
+        seconds.
+    :param lifetime_s: time for which callers cache an answer of the locator,
+        in seconds.
     """
     longest_ms = max(
         (row.deadline_ms for row in tables.select(Route)), default=0
@@ -82,15 +93,21 @@
 
 def measure_progress(
     drain: Drain,
-    facts: DrainObservation,
+    observation: DrainObservation,
     bounds: DrainBounds,
 ) -> DrainProgress:
-    """Return how far a drain is.
+    """Return the progress of a drain.
 
-    Only entry hosts stand in cached answers, so only drains that hold hosts
-    wait for these. A count of running requests ends a drain early if it is
-    fresh and was taken after the last request could have begun; without one
-    the longest deadline has to pass.
+    Cached locator answers contain entry hosts only, so only drains that can
+    include entry hosts wait until these answers expire. After that no
+    request can begin on the target. The drain then ends early if a count of
+    running requests is fresh, was taken after the last request could have
+    begun, and is 0; without such a count it ends when the longest request
+    deadline has passed.
+
+    :param drain: row of the drain.
+    :param observation: the observed state.
+    :param bounds: maximum durations of the stages.
 
     >>> drain = Drain('d', DrainKind.server, 's1')
     >>> bounds = DrainBounds(propagation_s=15, lifetime_s=5, deadline_s=30)
@@ -102,34 +119,36 @@
     True
     """
     last_start_s = bounds.propagation_s
-    if has_hosts(drain):
+    if has_entry_hosts(drain):
         last_start_s += bounds.lifetime_s
-    remaining_s = max(0, last_start_s + bounds.deadline_s - facts.elapsed_s)
-    stage = _find_stage(facts, bounds, last_start_s, remaining_s)
+    remaining_s = max(
+        0, last_start_s + bounds.deadline_s - observation.elapsed_s
+    )
+    stage = _find_stage(observation, bounds, last_start_s, remaining_s)
     if stage is DrainStage.safe:
         remaining_s = 0
-    return DrainProgress(stage, remaining_s, facts.running)
+    return DrainProgress(stage, remaining_s, observation.running)
 
 
-def has_hosts(drain: Drain) -> bool:
-    """Tell whether a drain may hold entry hosts."""
+def has_entry_hosts(drain: Drain) -> bool:
+    """Return whether a drain can include entry hosts."""
     return drain.kind not in {DrainKind.server, DrainKind.pool}
 
 
 def _find_stage(
-    facts: DrainObservation,
+    observation: DrainObservation,
     bounds: DrainBounds,
     last_start_s: float,
     remaining_s: float,
 ) -> DrainStage:
-    if facts.elapsed_s < bounds.propagation_s:
-        return DrainStage.spreading
-    if facts.elapsed_s < last_start_s:
-        return DrainStage.cached
-    is_counted = facts.age_s <= min(
-        _GREATEST_AGE_S,
-        facts.elapsed_s - last_start_s,
+    if observation.elapsed_s < bounds.propagation_s:
+        return DrainStage.propagating
+    if observation.elapsed_s < last_start_s:
+        return DrainStage.cache_expiring
+    is_count_usable = observation.age_s <= min(
+        _MAX_AGE_S,
+        observation.elapsed_s - last_start_s,
     )
-    if is_counted and facts.running is not None:
-        return DrainStage.finishing if facts.running else DrainStage.safe
+    if is_count_usable and observation.running is not None:
+        return DrainStage.finishing if observation.running else DrainStage.safe
     return DrainStage.finishing if remaining_s else DrainStage.safe
--- a/crocusshunt/drains/_rows.py
+++ b/crocusshunt/drains/_rows.py
@@ -1,4 +1,4 @@
-"""Rows of drains."""
+"""Configuration rows of drains."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class DrainKind(str, Enum):
-    """What a drain empties."""
+    """Kind of a drain's target."""
 
     server = 'server'
     pool = 'pool'
@@ -19,12 +19,16 @@
 @register_table('drain')
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """Empties a part of the system for as long as the row exists.
+    """Drain of a part of the system; in force as long as the row exists.
 
+    A drained server, pool, host, failure domain or region receives no new
+    requests, while requests that run there are completed.
+
+    :param kind: kind of the target.
     :param target: name of the backend server, pool, host, failure domain or
         region.
-    :param override: True to drain although there is no room for the load;
-        the change's author and reason are its audit record.
+    :param override: True to drain even if the remaining capacity does not
+        suffice; the author and reason of the change are its audit record.
     """
 
     name: Name
--- a/crocusshunt/drains/tests/test_drains.py
+++ b/crocusshunt/drains/tests/test_drains.py
@@ -1,4 +1,4 @@
-"""Drains: refusals, where the load goes, and the end."""
+"""Refusal, effect on pools and completion of drains."""
 
 from dataclasses import replace
 
@@ -32,13 +32,13 @@
 _HOST = Drain('d', DrainKind.host, 'h1')
 
 
-def _find_fault(tables: Tables) -> str:
+def _get_only_problem(tables: Tables) -> str:
     faults = find_faults(tables)
     assert len(faults) == 1
     return faults[0].problem
 
 
-def _readings(addis: float, dire: float, age_s: float = 0) -> Readings:
+def _create_readings(addis: float, dire: float, age_s: float = 0) -> Readings:
     return Readings(
         {
             ('verify', 'addis'): PoolLoad(8, addis, addis, age_s=age_s),
@@ -57,35 +57,37 @@
         (DrainKind.host, 's1', ''),
     ],
 )
-def test_kinds_name_their_servers(
+def test_each_kind_covers_its_servers(
     kind: DrainKind,
     target: str,
     drained: str,
 ) -> None:
-    """Each kind of drain takes the servers under it off."""
-    places = DrainIndex((Drain('d', kind, target),))
+    """A drain of each kind covers the servers that belong to its target."""
+    index = DrainIndex((Drain('d', kind, target),))
     names = [
         server.name
         for server in _TABLES.select(Server)
-        if places.is_server_draining(server)
+        if index.is_server_draining(server)
     ]
     assert ' '.join(names) == drained
 
 
-def test_preview_says_where_the_load_goes() -> None:
-    """The slots that are left are listed by region."""
-    move = preview_drain(_TABLES, _REGION, _readings(2, 2))[0]
-    assert (move.slots_before, move.slots_after, move.busy) == (14, 6, 4)
-    assert move.receivers == (('dire', 6),)
-    assert move.has_room
+def test_preview_lists_receiving_regions() -> None:
+    """The preview lists the remaining slots by region."""
+    impact = preview_drain(_TABLES, _REGION, _create_readings(2, 2))[0]
+    assert (impact.slots_before, impact.slots_after, impact.busy) == (14, 6, 4)
+    assert impact.receivers == (('dire', 6),)
+    assert impact.has_room
 
 
 @pytest.mark.parametrize(
     'readings',
-    [_readings(3, 2), _readings(1, 1, age_s=11), Readings()],
+    [_create_readings(3, 2), _create_readings(1, 1, age_s=11), Readings()],
 )
-def test_no_room_is_refused_unless_overridden(readings: Readings) -> None:
-    """A full, stale or unmeasured pool refuses; the override is explicit."""
+def test_insufficient_capacity_is_refused_without_override(
+    readings: Readings,
+) -> None:
+    """A full pool or one with old or no measurements needs an override."""
     refused = check_room(_TABLES, _REGION, readings).unwrap_err()
     assert refused.pools == ('verify',)
     assert check_room(
@@ -93,51 +95,51 @@
     ).is_ok()
 
 
-def test_other_drains_count() -> None:
-    """Two drains that each have room may have none together."""
-    readings = _readings(2, 2)
+def test_other_drains_reduce_capacity() -> None:
+    """A drain that fits alone is refused if another one takes the capacity."""
+    readings = _create_readings(2, 2)
     tables = _TABLES.put(Drain('other', DrainKind.server, 's3'))
     assert check_room(_TABLES, _SERVER, readings).is_ok()
     assert check_room(tables, _SERVER, readings).is_err()
 
 
-def test_last_server_is_refused_by_the_tables_check() -> None:
-    """The configuration refuses to empty a pool without an override."""
+def test_drain_of_last_servers_fails_validation() -> None:
+    """Validation refuses to leave a pool without servers, and wrong names."""
     drain = Drain('d', DrainKind.pool, 'verify')
-    assert 'without servers' in _find_fault(_TABLES.put(drain))
+    assert 'without servers' in _get_only_problem(_TABLES.put(drain))
     assert not find_faults(_TABLES.put(replace(drain, override=True)))
     unknown = replace(_SERVER, target='s9')
-    assert 'does not exist' in _find_fault(_TABLES.put(unknown))
+    assert 'does not exist' in _get_only_problem(_TABLES.put(unknown))
 
 
-def test_shift_into_a_drained_region_is_refused() -> None:
-    """Load does not move to where load is leaving."""
+def test_shift_into_drained_region_fails_validation() -> None:
+    """A running shift may not move load into a region being drained."""
     shift = Shift('s', 'verify', 'dire', 'addis', state=ShiftState.running)
-    assert 'being drained' in _find_fault(_TABLES.put(shift, _REGION))
+    assert 'being drained' in _get_only_problem(_TABLES.put(shift, _REGION))
 
 
 @pytest.mark.parametrize(
-    ('drain', 'facts', 'stage'),
+    ('drain', 'observation', 'stage'),
     [
-        (_SERVER, DrainObservation(14, 0), 'spreading'),
+        (_SERVER, DrainObservation(14, 0), 'propagating'),
         (_SERVER, DrainObservation(16, 1), 'finishing'),
         (_SERVER, DrainObservation(16, 0), 'safe'),
-        (_HOST, DrainObservation(16, 0), 'cached'),
+        (_HOST, DrainObservation(16, 0), 'cache_expiring'),
         (_HOST, DrainObservation(21, 0), 'safe'),
-        # Counted before the last request could have begun.
+        # The count is from before the last request could have begun.
         (_HOST, DrainObservation(22, 0, age_s=3), 'finishing'),
         (_HOST, DrainObservation(30, 0, age_s=6), 'finishing'),
-        # Counts that stop arriving: the longest deadline decides.
+        # No counts arrive: the longest deadline decides.
         (_HOST, DrainObservation(49), 'finishing'),
         (_HOST, DrainObservation(50), 'safe'),
-        # A request that runs past its deadline keeps the drain open.
+        # A request that runs past its deadline keeps the drain unfinished.
         (_HOST, DrainObservation(51, 1), 'finishing'),
     ],
 )
-def test_end_of_a_drain(
-    drain: Drain, facts: DrainObservation, stage: str
+def test_stages_of_a_drain(
+    drain: Drain, observation: DrainObservation, stage: str
 ) -> None:
-    """It is safe to switch off only once no request can be running."""
-    progress = measure_progress(drain, facts, _BOUNDS)
+    """A target is safe to switch off only when no request can run on it."""
+    progress = measure_progress(drain, observation, _BOUNDS)
     assert progress.stage.name == stage
     assert progress.is_safe == (stage == 'safe')
