--- a/crocusshunt/plans/__init__.py
+++ b/crocusshunt/plans/__init__.py
@@ -1,4 +1,4 @@
-"""What a proposed change would do before it is proposed."""
+"""Preview of a configuration change: differences and consequences."""
 
 from crocusshunt.plans import (  # noqa: F401
     _access,
--- a/crocusshunt/plans/_capacity.py
+++ b/crocusshunt/plans/_capacity.py
@@ -1,77 +1,94 @@
-"""Consequences for room: slots of pools, and backend servers' work."""
+"""Consequences for the capacity of pools and for backend servers."""
 
 from collections import Counter
 from collections.abc import Iterator
 
 from crocusshunt.drains import Drain, DrainIndex
-from crocusshunt.plans._registry import Consequence, pair_rows, rule, warn
+from crocusshunt.plans._registry import (
+    Consequence,
+    create_danger,
+    pair_rows,
+    register_rule,
+)
 from crocusshunt.routing import Route, Server, ServerState, Tables
 
-_ROOM = 'every accepted request reaches a backend server with room for it'
-_OVERLOAD = 'no region is overloaded by a steering decision'
-_GRACE = 'every planned stop cuts no request'
-_LEAST_SHARE = 0.5
-
-
-@rule
-def _find_lost_room(held: Tables, wanted: Tables) -> Iterator[Consequence]:
-    after = _count_pools(wanted)
-    served = {route.pool for route in wanted.select(Route)}
-    for pool, slots in sorted(_count_pools(held).items()):
-        left = after[pool]
+# Promises to users; the texts are shown to operators.
+_CAPACITY_PROMISE = (
+    'every accepted request reaches a backend server with room for it'
+)
+_OVERLOAD_PROMISE = 'no region is overloaded by a steering decision'
+_STOP_PROMISE = 'every planned stop cuts no request'
+# Share of a pool's current slots; with fewer left, a change is dangerous.
+_MIN_REMAINING_SHARE = 0.5
+
+
+@register_rule
+def _find_lost_capacity(
+    current: Tables, proposed: Tables
+) -> Iterator[Consequence]:
+    after = _count_pool_slots(proposed)
+    routed = {route.pool for route in proposed.select(Route)}
+    for pool, slots in sorted(_count_pool_slots(current).items()):
+        remaining = after[pool]
         place = f'pool {pool}'
-        effect = f'its slots in service fall from {slots} to {left}'
-        if not left and pool in served:
-            yield warn(place, effect, _ROOM)
-        elif left < slots * _LEAST_SHARE:
-            yield warn(place, effect, _OVERLOAD)
-        elif left < slots:
+        effect = f'its slots in service fall from {slots} to {remaining}'
+        if not remaining and pool in routed:
+            yield create_danger(place, effect, _CAPACITY_PROMISE)
+        elif remaining < slots * _MIN_REMAINING_SHARE:
+            yield create_danger(place, effect, _OVERLOAD_PROMISE)
+        elif remaining < slots:
             yield Consequence(place, effect)
 
 
-@rule
-def _find_lost_regions(held: Tables, wanted: Tables) -> Iterator[Consequence]:
-    after = _count_regions(wanted)
-    pools = _count_pools(wanted)
-    for (pool, region), slots in sorted(_count_regions(held).items()):
+@register_rule
+def _find_lost_regions(
+    current: Tables, proposed: Tables
+) -> Iterator[Consequence]:
+    after = _count_region_slots(proposed)
+    pools = _count_pool_slots(proposed)
+    for (pool, region), slots in sorted(_count_region_slots(current).items()):
         if slots and not after[pool, region] and pools[pool]:
-            yield warn(
+            yield create_danger(
                 f'pool {pool}',
                 f'no slot is left in {region}: its callers go to other regions',
             )
 
 
-@rule
-def _find_server_changes(held: Tables, wanted: Tables) -> Iterator[Consequence]:
-    for server, after in pair_rows(held, wanted, Server):
+@register_rule
+def _find_server_changes(
+    current: Tables, proposed: Tables
+) -> Iterator[Consequence]:
+    for server, after in pair_rows(current, proposed, Server):
         if after is not None:
-            yield from _judge_server(server, after)
+            yield from _compare_server(server, after)
         elif server.state is ServerState.active:
-            yield warn(
-                f'server {server.name}', 'leaves without a drain', _GRACE
+            yield create_danger(
+                f'server {server.name}',
+                'is removed without a drain',
+                _STOP_PROMISE,
             )
 
 
-def _judge_server(before: Server, after: Server) -> Iterator[Consequence]:
+def _compare_server(before: Server, after: Server) -> Iterator[Consequence]:
     place = f'server {before.name}'
     if after.state is not before.state:
-        is_leaving = after.state is ServerState.draining
-        yield warn(
+        is_draining = after.state is ServerState.draining
+        yield create_danger(
             place,
-            'gets no new work' if is_leaving else 'gets new work again',
+            'gets no new work' if is_draining else 'gets new work again',
         )
     if after.address != before.address:
-        yield warn(place, f'new work goes to {after.address}')
+        yield create_danger(place, f'new work goes to {after.address}')
 
 
-def _count_pools(tables: Tables) -> Counter[str]:
+def _count_pool_slots(tables: Tables) -> Counter[str]:
     slots: Counter[str] = Counter()
     for server, count in _list_slots(tables):
         slots[server.pool] += count
     return slots
 
 
-def _count_regions(tables: Tables) -> Counter[tuple[str, str]]:
+def _count_region_slots(tables: Tables) -> Counter[tuple[str, str]]:
     slots: Counter[tuple[str, str]] = Counter()
     for server, count in _list_slots(tables):
         slots[server.pool, server.region] += count
@@ -79,7 +96,9 @@
 
 
 def _list_slots(tables: Tables) -> Iterator[tuple[Server, int]]:
-    drained = DrainIndex(tables.select(Drain))
+    drain_index = DrainIndex(tables.select(Drain))
     for server in tables.select(Server):
-        is_serving = server.weight and not drained.is_server_draining(server)
+        is_serving = server.weight and not drain_index.is_server_draining(
+            server
+        )
         yield server, server.slots if is_serving else 0
--- a/crocusshunt/plans/_differences.py
+++ b/crocusshunt/plans/_differences.py
@@ -1,4 +1,4 @@
-"""Differences of rows, field by field."""
+"""Differences between configuration rows by field."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -12,14 +12,19 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldChange:
-    """One field before and after, as JSON texts."""
+    """Value of one field before and after a change.
+
+    :param field: name of the field.
+    :param before: JSON text of the value before the change.
+    :param after: JSON text of the value after the change.
+    """
 
     field: str
     before: str
     after: str
 
     def __str__(self) -> str:
-        """Return the change as operators read it."""
+        """Return the change as shown to operators."""
         return f'{self.field} {self.before} -> {self.after}'
 
 
@@ -28,7 +33,9 @@
     """One row that a change adds, changes or removes.
 
     :param action: ``add``, ``change`` or ``remove``.
-    :param fields: fields that change; empty for a removed row.
+    :param table: name of the row's table.
+    :param name: name of the row.
+    :param fields: fields that change; empty for an added or removed row.
     """
 
     action: str
@@ -38,16 +45,21 @@
 
     def __str__(self) -> str:
         """Return the change as one line for operators."""
-        shown = ', '.join(str(field) for field in self.fields)
+        changes = ', '.join(str(field) for field in self.fields)
         line = f'{self.action:6} {self.table} {self.name}'
-        return f'{line}: {shown}' if shown else line
+        return f'{line}: {changes}' if changes else line
 
 
 def compare_rows(
-    held: Tables,
+    current: Tables,
     edits: Iterable[EditRequest],
 ) -> tuple[RowChange, ...]:
-    """Return what edits change in the tables in force.
+    """Return the rows that edits change in the tables in force.
+
+    Edits that leave a row as it is are omitted.
+
+    :param current: the tables in force.
+    :param edits: the edits of the change.
 
     >>> from crocusshunt.routing import Pool
     >>> row = '{"name":"verify"}'
@@ -57,15 +69,15 @@
     >>> compare_rows(Tables().put(Pool('verify')), (edit,))
     ()
     """
-    return tuple(_compare(held, edits))
+    return tuple(_compare(current, edits))
 
 
 def _compare(
-    held: Tables,
+    current: Tables,
     edits: Iterable[EditRequest],
 ) -> Iterator[RowChange]:
     for edit in edits:
-        row = held.rows.get(edit.table, {}).get(edit.name)
+        row = current.rows.get(edit.table, {}).get(edit.name)
         before = _decode(None if row is None else encode_row(row))
         if edit.row is None:
             yield RowChange('remove', edit.table, edit.name)
--- a/crocusshunt/plans/_preview.py
+++ b/crocusshunt/plans/_preview.py
@@ -1,4 +1,4 @@
-"""Tables that a change would put in force."""
+"""Computation of the tables after a change."""
 
 from collections.abc import Iterable
 
@@ -10,12 +10,13 @@
 
 
 def preview_edits(
-    held: Tables,
+    current: Tables,
     edits: Iterable[EditRequest],
 ) -> Result[Tables, tuple[Fault, ...]]:
-    """Return the tables after edits, or every fault that they have.
+    """Return the tables after edits, or all faults of edits and tables.
 
-    :param held: the tables in force.
+    :param current: the tables in force.
+    :param edits: the edits to apply.
 
     >>> edit = EditRequest('pool', 'verify', '{"name":"verify"}')
     >>> sorted(preview_edits(Tables(), (edit,)).unwrap().rows['pool'])
@@ -23,7 +24,7 @@
     """
     faults: list[Fault] = []
     rows: list[Row] = []
-    tables = held
+    tables = current
     for edit in edits:
         if edit.row is None:
             tables = tables.remove(edit.table, (edit.name,))
--- a/crocusshunt/plans/_registry.py
+++ b/crocusshunt/plans/_registry.py
@@ -9,7 +9,7 @@
 
 
 class Severity(str, Enum):
-    """Whether an operator is asked before the change is proposed."""
+    """Severity of a consequence; an operator must confirm a ``danger``."""
 
     notice = 'notice'
     danger = 'danger'
@@ -17,11 +17,13 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Consequence:
-    """One effect of a change.
+    """One effect of a configuration change.
 
-    :param place: table and row that cause it.
-    :param effect: what callers or backend servers will see.
-    :param promise: which promise it would break; empty if none.
+    :param place: table and row that cause the effect.
+    :param effect: what will change for callers, operators or backend
+        servers.
+    :param promise: promise of the system that it would break; empty if none.
+    :param severity: whether an operator must confirm the change.
     """
 
     place: str
@@ -41,46 +43,54 @@
 _RULES: list[Rule] = []
 
 
-def rule(function: Rule) -> Rule:
-    """Register a rule; a decorator for functions of the tables.
+def register_rule(finder: Rule) -> Rule:
+    """Register a function that finds consequences; used as a decorator.
 
-    :param function: yields the consequences of going from the first tables
-        to the second.
+    :param finder: takes the current and the proposed tables and yields the
+        consequences of the change.
     """
-    _RULES.append(function)
-    return function
+    _RULES.append(finder)
+    return finder
 
 
-def find_consequences(held: Tables, wanted: Tables) -> tuple[Consequence, ...]:
-    """Return every consequence that any rule finds, dangers first.
+def find_consequences(
+    current: Tables, proposed: Tables
+) -> tuple[Consequence, ...]:
+    """Return the consequences that the registered rules find, dangers first.
 
-    :param held: the tables in force.
-    :param wanted: the tables that the change would put in force.
+    :param current: the tables in force.
+    :param proposed: the tables with the change applied.
 
     >>> from crocusshunt.routing import Customer
-    >>> held = Tables().put(Customer('court', rate=20, burst=40))
-    >>> wanted = Tables().put(Customer('court', rate=5, burst=40))
-    >>> find_consequences(held, wanted)[0].effect
+    >>> current = Tables().put(Customer('court', rate=20, burst=40))
+    >>> proposed = Tables().put(Customer('court', rate=5, burst=40))
+    >>> find_consequences(current, proposed)[0].effect
     'its rate falls from 20 to 5 requests a second'
     """
-    found = {one for each in _RULES for one in each(held, wanted)}
+    found = {
+        consequence
+        for finder in _RULES
+        for consequence in finder(current, proposed)
+    }
     return tuple(
-        sorted(found, key=lambda one: (one.severity, one)),
+        sorted(
+            found, key=lambda consequence: (consequence.severity, consequence)
+        ),
     )
 
 
 def pair_rows(
-    held: Tables,
-    wanted: Tables,
+    current: Tables,
+    proposed: Tables,
     row_class: type[_RowType],
 ) -> Iterator[tuple[_RowType, _RowType | None]]:
-    """Yield each held row with the row that replaces it, None if none."""
-    for row in held.select(row_class):
-        replacement = wanted.find(row_class, row.name)
+    """Yield each row that changes with its new row, None if it is removed."""
+    for row in current.select(row_class):
+        replacement = proposed.find(row_class, row.name)
         if replacement != row:
             yield row, replacement
 
 
-def warn(place: str, effect: str, promise: str = '') -> Consequence:
-    """Return a consequence that needs an operator's confirmation."""
+def create_danger(place: str, effect: str, promise: str = '') -> Consequence:
+    """Return a consequence that an operator must confirm."""
     return Consequence(place, effect, promise, Severity.danger)
--- a/crocusshunt/plans/_traffic.py
+++ b/crocusshunt/plans/_traffic.py
@@ -2,77 +2,94 @@
 
 from collections.abc import Iterator
 
-from crocusshunt.plans._registry import Consequence, pair_rows, rule, warn
+from crocusshunt.plans._registry import (
+    Consequence,
+    create_danger,
+    pair_rows,
+    register_rule,
+)
 from crocusshunt.routing import AddressBlock, Customer, Link, Route, Tables
 
 
-@rule
-def _find_moved_routes(held: Tables, wanted: Tables) -> Iterator[Consequence]:
-    for route, after in pair_rows(held, wanted, Route):
+@register_rule
+def _find_route_changes(
+    current: Tables, proposed: Tables
+) -> Iterator[Consequence]:
+    for route, after in pair_rows(current, proposed, Route):
         place = f'route {route.name}'
         if after is None:
-            yield warn(
+            yield create_danger(
                 place,
-                f'requests under {route.path_prefix} fall to other routes '
+                f'requests under {route.path_prefix} go to other routes '
                 'or are refused',
             )
         elif after.pool != route.pool:
-            yield warn(
+            yield create_danger(
                 place,
                 f'its traffic moves from pool {route.pool} to {after.pool}',
             )
-        elif _match(after) != _match(route):
-            yield warn(place, 'it matches other requests than before')
+        elif _extract_match(after) != _extract_match(route):
+            yield create_danger(place, 'it matches other requests than before')
 
 
-@rule
-def _find_new_routes(held: Tables, wanted: Tables) -> Iterator[Consequence]:
-    for route in wanted.select(Route):
-        if held.find(Route, route.name) is None:
+@register_rule
+def _find_new_routes(
+    current: Tables, proposed: Tables
+) -> Iterator[Consequence]:
+    for route in proposed.select(Route):
+        if current.find(Route, route.name) is None:
             yield Consequence(
                 f'route {route.name}',
                 f'requests under {route.path_prefix} go to pool {route.pool}',
             )
 
 
-@rule
-def _find_lower_limits(held: Tables, wanted: Tables) -> Iterator[Consequence]:
-    for customer, after in pair_rows(held, wanted, Customer):
+@register_rule
+def _find_lower_limits(
+    current: Tables, proposed: Tables
+) -> Iterator[Consequence]:
+    for customer, after in pair_rows(current, proposed, Customer):
         place = f'customer {customer.name}'
         if after is None:
-            yield warn(place, 'the customer and its limits are removed')
+            yield create_danger(
+                place, 'the customer and its limits are removed'
+            )
             continue
         if after.rate < customer.rate:
-            yield warn(
+            yield create_danger(
                 place,
                 f'its rate falls from {customer.rate:g} to {after.rate:g} '
                 'requests a second',
             )
         if after.burst < customer.burst:
-            yield warn(
+            yield create_danger(
                 place,
                 f'its burst falls from {customer.burst} to {after.burst} '
                 'requests',
             )
 
 
-@rule
-def _find_moved_blocks(held: Tables, wanted: Tables) -> Iterator[Consequence]:
-    for block, after in pair_rows(held, wanted, AddressBlock):
+@register_rule
+def _find_moved_blocks(
+    current: Tables, proposed: Tables
+) -> Iterator[Consequence]:
+    for block, after in pair_rows(current, proposed, AddressBlock):
         target = after.region if after else 'no region of their own'
         if target != block.region:
-            yield warn(
+            yield create_danger(
                 f'block {block.name}',
                 f'callers of {block.prefix} move from {block.region} '
                 f'to {target}',
             )
 
 
-@rule
-def _find_link_limits(held: Tables, wanted: Tables) -> Iterator[Consequence]:
-    for link, after in pair_rows(held, wanted, Link):
+@register_rule
+def _find_link_limits(
+    current: Tables, proposed: Tables
+) -> Iterator[Consequence]:
+    for link, after in pair_rows(current, proposed, Link):
         if after is None:
-            yield warn(f'link {link.name}', 'its limit is removed')
+            yield create_danger(f'link {link.name}', 'its limit is removed')
         elif after.mbits != link.mbits:
             yield Consequence(
                 f'link {link.name}',
@@ -80,8 +97,11 @@
             )
 
 
-def _match(route: Route) -> Route:
-    """Return the route with everything but its match left equal."""
+def _extract_match(route: Route) -> Route:
+    """Return a route with only the fields that select requests.
+
+    All other fields have the same values for every route.
+    """
     return Route(
         name=route.name,
         pool='',
--- a/crocusshunt/plans/tests/test_consequences.py
+++ b/crocusshunt/plans/tests/test_consequences.py
@@ -1,4 +1,4 @@
-"""Tests of the consequences that operators are warned of."""
+"""Tests of the consequences of configuration changes."""
 
 from dataclasses import replace
 
@@ -35,7 +35,7 @@
     Server(f's{number}', 'verify', f'10.0.0.{number}:80', region, 'a', 4)
     for number, region in enumerate(('addis', 'addis', 'dire'))
 )
-_HELD = Tables().put(
+_CURRENT = Tables().put(
     Pool('verify'),
     Pool('renew'),
     _KEY,
@@ -70,49 +70,59 @@
         (replace(_SERVERS[0], address='10.0.0.9:80'), 'to 10.0.0.9:80'),
     ],
 )
-def test_danger_of_a_changed_row(row: Row, effect: str) -> None:
-    found = find_consequences(_HELD, _HELD.put(row))
-    dangers = [one for one in found if one.severity is Severity.danger]
-    assert effect in ' '.join(one.effect for one in dangers)
+def test_changed_row_is_danger(row: Row, effect: str) -> None:
+    found = find_consequences(_CURRENT, _CURRENT.put(row))
+    dangers = [
+        consequence
+        for consequence in found
+        if consequence.severity is Severity.danger
+    ]
+    assert effect in ' '.join(consequence.effect for consequence in dangers)
 
 
 @pytest.mark.parametrize(
     'row',
     [_KEY, _ROUTE, _CUSTOMER, _OPERATOR, _BLOCK, _LINK, _SERVERS[0]],
 )
-def test_danger_of_a_removed_row(row: Row) -> None:
+def test_removed_row_is_danger(row: Row) -> None:
     table = find_row_table(row)
-    wanted = _HELD.remove(table, (row.name,))
-    found = find_consequences(_HELD, wanted)
-    dangers = {one.place for one in found if one.severity is Severity.danger}
+    proposed = _CURRENT.remove(table, (row.name,))
+    found = find_consequences(_CURRENT, proposed)
+    dangers = {
+        consequence.place
+        for consequence in found
+        if consequence.severity is Severity.danger
+    }
     assert f'{table} {row.name}' in dangers
 
 
 def test_shifts_and_drains_are_dangers() -> None:
     shift = Shift('s', 'verify', 'addis', 'dire', state=ShiftState.running)
     drain = Drain('d', DrainKind.region, 'dire')
-    started = str(find_consequences(_HELD, _HELD.put(shift, drain)))
+    started = str(find_consequences(_CURRENT, _CURRENT.put(shift, drain)))
     assert '100% of the load of pool verify in addis moves' in started
     assert 'no slot is left in dire' in started
-    moved = _HELD.put(replace(shift, moved=0.5))
-    removed = str(find_consequences(moved, _HELD))
+    moved = _CURRENT.put(replace(shift, moved=0.5))
+    removed = str(find_consequences(moved, _CURRENT))
     assert '50% of the load returns to addis at once' in removed
 
 
-def test_lost_slots_name_the_promise() -> None:
+def test_lost_slots_name_broken_promise() -> None:
     drained = [
         replace(server, state=ServerState.draining) for server in _SERVERS
     ]
-    most = find_consequences(_HELD, _HELD.put(*drained[:2]))
-    everything = find_consequences(_HELD, _HELD.put(*drained))
-    assert 'no region is overloaded' in str(most)
-    assert 'reaches a backend server with room' in str(everything)
+    two_drained = find_consequences(_CURRENT, _CURRENT.put(*drained[:2]))
+    all_drained = find_consequences(_CURRENT, _CURRENT.put(*drained))
+    assert 'no region is overloaded' in str(two_drained)
+    assert 'reaches a backend server with room' in str(all_drained)
 
 
-def test_harmless_change_is_no_danger() -> None:
-    wanted = _HELD.put(replace(_CUSTOMER, rate=30), Pool('ledger'))
-    found = find_consequences(_HELD, wanted)
-    assert Severity.danger not in {one.severity for one in found}
+def test_harmless_change_has_no_danger() -> None:
+    proposed = _CURRENT.put(replace(_CUSTOMER, rate=30), Pool('ledger'))
+    found = find_consequences(_CURRENT, proposed)
+    assert Severity.danger not in {
+        consequence.severity for consequence in found
+    }
 
 
 def test_preview_collects_all_faults() -> None:
@@ -120,6 +130,6 @@
         EditRequest('pool', 'other', '{}'),
         EditRequest('pool', 'verify', None),
     )
-    faults = preview_edits(_HELD, edits).unwrap_err()
+    faults = preview_edits(_CURRENT, edits).unwrap_err()
     places = {fault.place for fault in faults}
     assert {'pool other', 'route verify'} <= places
