--- a/crocusshunt/locator/__init__.py
+++ b/crocusshunt/locator/__init__.py
@@ -1,11 +1,14 @@
-"""The process that tells callers which entry hosts to use."""
+"""Service that tells callers which entry hosts to use."""
 
-from crocusshunt.locator._clients import Origin, find_client
+from crocusshunt.locator._client_address import (
+    LookupOrigin,
+    find_client_address,
+)
 from crocusshunt.locator._lookups import (
     LookupAnswer,
     LookupFailureError,
-    LookupQuestion,
-    Lookups,
+    LookupQuery,
+    LookupResolver,
     NoHostsError,
     UnknownNameError,
 )
@@ -18,10 +21,10 @@
     'LocatorSettings',
     'LookupAnswer',
     'LookupFailureError',
-    'LookupQuestion',
-    'Lookups',
+    'LookupOrigin',
+    'LookupQuery',
+    'LookupResolver',
     'NoHostsError',
-    'Origin',
     'UnknownNameError',
-    'find_client',
+    'find_client_address',
 )
--- a/crocusshunt/locator/_lookups.py
+++ b/crocusshunt/locator/_lookups.py
@@ -1,4 +1,4 @@
-"""Answers to look-ups, from local state alone."""
+"""Resolution of look-ups from local state only."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -26,12 +26,16 @@
     index_link_delays,
 )
 
-_LISTED_HOSTS = 4
+_MAX_HOSTS = 4
 _DIGEST_BYTES = 8
 
 
 class ListedHost(msgspec.Struct, frozen=True):
-    """An entry host in an answer."""
+    """Entry host in an answer.
+
+    :param name: name of the host.
+    :param url: base URL of the host's gateway.
+    """
 
     name: str
     region: str
@@ -42,7 +46,10 @@
 class LookupAnswer(msgspec.Struct, frozen=True):
     """Entry hosts in the order in which a caller should try them.
 
-    :param lifetime_s: how long the answer may be kept, in seconds.
+    :param hosts: the entry hosts.
+    :param lifetime_s: time for which a caller may cache the answer, in
+        seconds.
+    :param revision: revision of the configuration used.
     """
 
     hosts: tuple[ListedHost, ...]
@@ -50,17 +57,18 @@
     revision: int
 
     def compute_tag(self) -> str:
-        """Return the entity tag of the answer."""
+        """Return the HTTP entity tag of the answer, a digest of its JSON."""
         digest = blake2b(msgspec.json.encode(self), digest_size=_DIGEST_BYTES)
         return f'"{digest.hexdigest()}"'
 
 
 @dataclass(frozen=True, slots=True)
-class LookupQuestion:
-    """What a caller asks.
+class LookupQuery:
+    """Look-up of a caller.
 
-    :param route: name of the route it will use, empty for any.
-    :param customer: name of its customer, empty if unknown.
+    :param client: address of the client that the look-up is for.
+    :param route: name of the route that the caller will use, empty for any.
+    :param customer: name of the caller's customer, empty if unknown.
     """
 
     client: IPAddress
@@ -70,14 +78,18 @@
 
 @dataclass(unsafe_hash=True)
 class LookupFailureError(CrocusError):
-    """A look-up without an answer."""
+    """Base class of errors for look-ups that have no answer."""
 
     code = 'lookup'
 
 
 @dataclass(unsafe_hash=True)
 class UnknownNameError(LookupFailureError):
-    """A look-up that names a row that does not exist."""
+    """A look-up that names a configuration row that does not exist.
+
+    :param table: table of the row.
+    :param name: name of the row.
+    """
 
     code = 'name-unknown'
 
@@ -87,49 +99,58 @@
 
 @dataclass(unsafe_hash=True)
 class NoHostsError(LookupFailureError):
-    """No usable entry host is known."""
+    """A look-up for which no usable entry host is known."""
 
     code = 'no-hosts'
 
 
-class Lookups:
-    """Orders entry hosts by what the controller last said."""
+class LookupResolver:
+    """Resolves look-ups from the last configuration and host list received."""
 
     def __init__(self, hosts: HostTable, lifetime_s: int) -> None:
-        """Start without configuration.
+        """Start without a configuration.
 
-        :param lifetime_s: how long answers may be kept, in seconds.
+        :param hosts: table of the known hosts.
+        :param lifetime_s: time for which callers may cache an answer, in
+            seconds.
         """
         self._hosts = hosts
         self._lifetime_s = lifetime_s
         self._tables = Tables()
         self._revision = 0
         self._blocks = BlockTable()
-        self._directory = EntryHostRanker((), {})
+        self._ranker = EntryHostRanker((), {})
         self._hosts_version = 0
         self._pool_regions: dict[str, frozenset[str]] = {}
 
-    def accept(self, configuration: Configuration) -> None:
-        """Take a new configuration, by its difference where it is large."""
-        before = self._tables.select(AddressBlock)
+    def apply_configuration(self, configuration: Configuration) -> None:
+        """Replace the configuration.
+
+        The table of client blocks can be large, so only blocks that differ
+        are updated.
+        """
+        old_blocks = self._tables.select(AddressBlock)
         self._tables = configuration.tables
         self._revision = configuration.revision
-        after = self._tables.select(AddressBlock)
-        gone = set(before).difference(after)
-        come = set(after).difference(before)
-        self._blocks.update(gone, come)
+        new_blocks = self._tables.select(AddressBlock)
+        removed_blocks = set(old_blocks).difference(new_blocks)
+        added_blocks = set(new_blocks).difference(old_blocks)
+        self._blocks.update(removed_blocks, added_blocks)
         self._index_hosts()
 
     def answer(
         self,
-        question: LookupQuestion,
+        query: LookupQuery,
     ) -> Result[LookupAnswer, LookupFailureError]:
-        """Return the entry hosts for a caller."""
-        self._follow_hosts()
-        caller = self._describe(question)
+        """Return the entry hosts for a caller, the one to try first leading.
+
+        :param query: the look-up.
+        """
+        self._refresh_hosts()
+        caller = self._create_caller(query)
         if isinstance(caller, Err):
             return caller
-        hosts = self._directory.rank(caller.ok_value, _LISTED_HOSTS)
+        hosts = self._ranker.rank(caller.ok_value, _MAX_HOSTS)
         if not hosts:
             return Err(NoHostsError())
         listed = tuple(
@@ -143,24 +164,24 @@
         )
         return Ok(LookupAnswer(listed, self._lifetime_s, self._revision))
 
-    def _describe(
+    def _create_caller(
         self,
-        question: LookupQuestion,
+        query: LookupQuery,
     ) -> Result[Caller, LookupFailureError]:
-        customer, route = question.customer, question.route
+        customer, route = query.customer, query.route
         if customer and self._tables.find(Customer, customer) is None:
             return Err(UnknownNameError('customer', customer))
         targets: frozenset[str] = frozenset()
         if route:
-            found = self._tables.find(Route, route)
-            if found is None:
+            route_row = self._tables.find(Route, route)
+            if route_row is None:
                 return Err(UnknownNameError('route', route))
-            targets = self._pool_regions.get(found.pool, targets)
-        region = self._blocks.find_region(question.client)
-        identity = f'{question.client} {customer}'
+            targets = self._pool_regions.get(route_row.pool, targets)
+        region = self._blocks.find_region(query.client)
+        identity = f'{query.client} {customer}'
         return Ok(Caller(identity, region, targets))
 
-    def _follow_hosts(self) -> None:
+    def _refresh_hosts(self) -> None:
         if self._hosts.version != self._hosts_version:
             self._index_hosts()
 
@@ -168,25 +189,27 @@
         self._hosts_version = self._hosts.version
         delays_ms = index_link_delays(self._tables.select(Link))
         suspects = self._hosts.suspects
-        places = DrainIndex(self._tables.select(Drain))
+        drain_index = DrainIndex(self._tables.select(Drain))
         hosts = [
             host
             for host in self._hosts.hosts
-            if not places.is_host_draining(host)
+            if not drain_index.is_host_draining(host)
         ]
-        self._directory = EntryHostRanker(hosts, delays_ms, suspects)
-        self._pool_regions = _find_regions(self._tables)
+        self._ranker = EntryHostRanker(hosts, delays_ms, suspects)
+        self._pool_regions = _find_pool_regions(self._tables)
 
 
-def _find_regions(tables: Tables) -> dict[str, frozenset[str]]:
-    """Return the regions in which each pool has servers that take work."""
-    places = DrainIndex(tables.select(Drain))
-    pairs = Counter(
+def _find_pool_regions(tables: Tables) -> dict[str, frozenset[str]]:
+    """Return the regions where each pool has servers that accept requests."""
+    drain_index = DrainIndex(tables.select(Drain))
+    pool_regions = Counter(
         (server.pool, server.region)
         for server in tables.select(Server)
-        if server.weight and not places.is_server_draining(server)
+        if server.weight and not drain_index.is_server_draining(server)
     )
     return {
-        pool: frozenset(region for other, region in pairs if other == pool)
-        for pool, _ in pairs
+        pool: frozenset(
+            region for pool_name, region in pool_regions if pool_name == pool
+        )
+        for pool, _ in pool_regions
     }
--- a/crocusshunt/locator/_service.py
+++ b/crocusshunt/locator/_service.py
@@ -6,11 +6,14 @@
 from result import Err
 
 from crocusshunt.core import Clock, CrocusError
-from crocusshunt.locator._clients import Origin, find_client
+from crocusshunt.locator._client_address import (
+    LookupOrigin,
+    find_client_address,
+)
 from crocusshunt.locator._lookups import (
     LookupAnswer,
-    LookupQuestion,
-    Lookups,
+    LookupQuery,
+    LookupResolver,
     NoHostsError,
 )
 from crocusshunt.locator._settings import LocatorSettings
@@ -26,10 +29,18 @@
 
 
 class LocatorService(HttpService):
-    """Answers look-ups from local state alone."""
+    """HTTP service that answers look-ups from local state only.
+
+    It follows the configuration and the host list of this host's controller
+    in the background, so an answer never waits for another process.
+    """
 
     def __init__(self, settings: LocatorSettings, clock: Clock) -> None:
-        """Assemble the parts; nothing runs yet."""
+        """Create the components; ``start`` runs them.
+
+        :param settings: settings of the process.
+        :param clock: clock for the configuration feed.
+        """
         super().__init__(settings.locator.address, settings.locator.port)
         self._settings = settings.locator
         self._tasks = TaskGroup()
@@ -43,38 +54,38 @@
             self._requesters,
             clock,
         )
-        self.lookups = Lookups(self.hosts, settings.locator.lifetime_s)
-        self.feed.listen(self.lookups.accept)
+        self.resolver = LookupResolver(self.hosts, settings.locator.lifetime_s)
+        self.feed.listen(self.resolver.apply_configuration)
 
     def create_application(self) -> web.Application:
-        """Return the look-up application."""
+        """Return the HTTP application with the look-up endpoint."""
         application = web.Application()
         application.router.add_get('/v1/lookup', self._answer)
         return application
 
     async def start(self) -> None:
-        """Follow the controller and listen."""
+        """Start to follow the controller, then to listen for requests."""
         self._tasks.start(self._follower.run())
         self._tasks.start(self.hosts.run())
         await super().start()
 
     async def stop(self, exception: Exception | None = None) -> Any:
-        """Close the server, then stop following."""
+        """Stop the HTTP server, then stop following the controller."""
         await super().stop(exception)
         await self._tasks.stop()
         self._requesters.close()
 
     async def _answer(self, request: web.Request) -> web.Response:
-        origin = Origin(
+        origin = LookupOrigin(
             request.remote or '',
             request.headers.get('X-Forwarded-For', ''),
             request.query.get('client', ''),
         )
-        client = find_client(origin, self._settings.trusted_forwarders)
+        client = find_client_address(origin, self._settings.trusted_forwarders)
         if isinstance(client, Err):
             return _refuse(client.err_value)
-        answer = self.lookups.answer(
-            LookupQuestion(
+        answer = self.resolver.answer(
+            LookupQuery(
                 client.ok_value,
                 request.query.get('route', ''),
                 request.query.get('customer', ''),
--- a/crocusshunt/locator/_settings.py
+++ b/crocusshunt/locator/_settings.py
@@ -8,12 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LocatorSection:
-    """Addresses and policy of the locator.
+    """Settings of the locator's HTTP service and answers.
 
+    :param address: address on which the locator listens.
+    :param port: port on which the locator listens.
     :param controller: address of this host's controller.
-    :param lifetime_s: how long callers may keep an answer, in seconds.
-    :param trusted_forwarders: addresses whose ``X-Forwarded-For`` is
-        believed.
+    :param lifetime_s: time for which callers may cache an answer, in seconds.
+    :param trusted_forwarders: addresses of forwarders that may name another
+        client, by ``X-Forwarded-For`` or the query parameter ``client``.
     """
 
     address: HostAddress
--- a/crocusshunt/locator/tests/test_lookups.py
+++ b/crocusshunt/locator/tests/test_lookups.py
@@ -1,10 +1,15 @@
-"""Look-ups and the client's address."""
+"""Resolution of look-ups and of the client address."""
 
 import pytest
 
 from crocusshunt.configuration import Configuration
 from crocusshunt.core import parse_address
-from crocusshunt.locator import LookupQuestion, Lookups, Origin, find_client
+from crocusshunt.locator import (
+    LookupOrigin,
+    LookupQuery,
+    LookupResolver,
+    find_client_address,
+)
 from crocusshunt.membership import HostTable
 from crocusshunt.membership.tests.network import create_listing
 from crocusshunt.messages import HostList, RequesterPool
@@ -31,51 +36,57 @@
     )
 
 
-def _ask(lookups: Lookups, client: str, route: str = '') -> str:
-    question = LookupQuestion(parse_address(client).unwrap(), route)
-    return lookups.answer(question).unwrap().hosts[0].region
+def _find_first_region(
+    resolver: LookupResolver, client: str, route: str = ''
+) -> str:
+    query = LookupQuery(parse_address(client).unwrap(), route)
+    return resolver.answer(query).unwrap().hosts[0].region
 
 
-def test_blocks_follow_the_configuration(hosts: HostTable) -> None:
-    """IPv4, mapped and IPv6 clients follow a block that changes."""
-    lookups = Lookups(hosts, _LIFETIME_S)
-    lookups.accept(Configuration(tables=_create_tables('a')))
-    assert _ask(lookups, '10.1.2.3') == 'a'
-    assert _ask(lookups, '::ffff:10.1.2.3') == 'a'
-    assert _ask(lookups, '2001:db8::1') == 'b'
-    lookups.accept(Configuration(tables=_create_tables('b')))
-    assert _ask(lookups, '10.1.2.3') == 'b'
+def test_regions_follow_changed_blocks(hosts: HostTable) -> None:
+    """IPv4, IPv4-mapped and IPv6 clients get the region of their block."""
+    resolver = LookupResolver(hosts, _LIFETIME_S)
+    resolver.apply_configuration(Configuration(tables=_create_tables('a')))
+    assert _find_first_region(resolver, '10.1.2.3') == 'a'
+    assert _find_first_region(resolver, '::ffff:10.1.2.3') == 'a'
+    assert _find_first_region(resolver, '2001:db8::1') == 'b'
+    resolver.apply_configuration(Configuration(tables=_create_tables('b')))
+    assert _find_first_region(resolver, '10.1.2.3') == 'b'
 
 
-def test_failures_are_typed(hosts: HostTable) -> None:
-    """A wrong name, and no usable host, are told apart."""
-    lookups = Lookups(hosts, _LIFETIME_S)
-    lookups.accept(Configuration(tables=_create_tables('a')))
+def test_failures_have_distinct_codes(hosts: HostTable) -> None:
+    """An unknown route and a lack of hosts have different error codes."""
+    resolver = LookupResolver(hosts, _LIFETIME_S)
+    resolver.apply_configuration(Configuration(tables=_create_tables('a')))
     client = parse_address('10.1.2.3').unwrap()
-    wrong = lookups.answer(LookupQuestion(client, 'none'))
-    assert wrong.unwrap_err().code == 'name-unknown'
+    unknown_route = resolver.answer(LookupQuery(client, 'none'))
+    assert unknown_route.unwrap_err().code == 'name-unknown'
     hosts.replace(HostList(()))
-    nobody = lookups.answer(LookupQuestion(client))
-    assert nobody.unwrap_err().code == 'no-hosts'
+    no_hosts = resolver.answer(LookupQuery(client))
+    assert no_hosts.unwrap_err().code == 'no-hosts'
 
 
 @pytest.mark.parametrize(
     ('origin', 'client'),
     [
-        (Origin('10.0.0.1', '10.2.2.2', '10.3.3.3'), '10.0.0.1'),
-        (Origin(_FORWARDER, '10.1.1.1, 10.2.2.2'), '10.2.2.2'),
-        (Origin(_FORWARDER, '10.2.2.2', '::ffff:10.3.3.3'), '10.3.3.3'),
-        (Origin(_FORWARDER), _FORWARDER),
+        (LookupOrigin('10.0.0.1', '10.2.2.2', '10.3.3.3'), '10.0.0.1'),
+        (LookupOrigin(_FORWARDER, '10.1.1.1, 10.2.2.2'), '10.2.2.2'),
+        (LookupOrigin(_FORWARDER, '10.2.2.2', '::ffff:10.3.3.3'), '10.3.3.3'),
+        (LookupOrigin(_FORWARDER), _FORWARDER),
     ],
 )
-def test_only_forwarders_speak_for_others(origin: Origin, client: str) -> None:
-    """What an untrusted peer claims is passed over."""
-    found = find_client(origin, (_FORWARDER,)).unwrap()
+def test_only_trusted_forwarders_name_other_clients(
+    origin: LookupOrigin, client: str
+) -> None:
+    """An untrusted peer's header and query parameter are ignored."""
+    found = find_client_address(origin, (_FORWARDER,)).unwrap()
     assert str(found) == client
 
 
 @pytest.mark.parametrize('text', ['10.0.0', 'host', '1.2.3.4:80', '10.0.0.1%'])
-def test_bad_addresses_are_typed(text: str) -> None:
-    """An address that is none is refused, not guessed."""
-    found = find_client(Origin(_FORWARDER, client=text), (_FORWARDER,))
+def test_invalid_addresses_are_refused(text: str) -> None:
+    """A text that is not an IP address is refused."""
+    found = find_client_address(
+        LookupOrigin(_FORWARDER, client=text), (_FORWARDER,)
+    )
     assert found.unwrap_err().code == 'invalid-address'
