--- a/crocusshunt/delivery/_budget.py
+++ b/crocusshunt/delivery/_budget.py
@@ -1,4 +1,4 @@
-"""Budget that keeps retries a small part of all requests."""
+"""Budget that limits retries to a small fraction of all requests."""
 
 from collections import defaultdict
 from dataclasses import dataclass
@@ -8,8 +8,9 @@
 class BudgetSettings:
     """Size of retry budgets.
 
-    :param ratio: retries earned by each request.
-    :param reserve: greatest number of retries saved up.
+    :param ratio: retries that each request adds to the budget.
+    :param reserve: greatest number of retries that a budget can hold, and
+        the number with which it starts.
     """
 
     ratio: float = 0.05
@@ -17,7 +18,10 @@
 
 
 class RetryBudget:
-    """Counts retries per customer and pool against requests.
+    """Token bucket of retries for each customer and pool.
+
+    Each request adds ``ratio`` retries, up to ``reserve``; each retry takes
+    one.
 
     >>> budget = RetryBudget(BudgetSettings(ratio=0.5, reserve=1))
     >>> budget.spend('court', 'verify'), budget.spend('court', 'verify')
@@ -29,20 +33,20 @@
     """
 
     def __init__(self, settings: BudgetSettings) -> None:
-        """Start each budget with its reserve."""
+        """Start each budget at its maximum, the reserve."""
         self._settings = settings
         self._saved: defaultdict[tuple[str, str], float] = defaultdict(
             lambda: settings.reserve,
         )
 
     def earn(self, customer: str, pool: str) -> None:
-        """Count a request that was offered."""
+        """Add the share of a retry that a first attempt earns."""
         account = (customer, pool)
         earned = self._saved[account] + self._settings.ratio
         self._saved[account] = min(self._settings.reserve, earned)
 
     def spend(self, customer: str, pool: str) -> bool:
-        """Take a retry; return whether the budget had one."""
+        """Take one retry; return whether the budget allowed it."""
         account = (customer, pool)
         if self._saved[account] < 1:
             return False
--- a/crocusshunt/delivery/_claims.py
+++ b/crocusshunt/delivery/_claims.py
@@ -1,8 +1,9 @@
 """Claims that keep a non-idempotent request from running twice.
 
-A claim is a row per customer and idempotency key. Whoever inserted it may
-send the request; a claim is never taken over before it expires, so that a
-gateway which wakes late can at worst send what nobody else has sent.
+A claim is a stored row per customer and idempotency key. Only the attempt
+that inserted the row may send the request. Nobody takes a claim over before it
+expires, so a gateway that resumes after a long pause can at worst send a
+request that nobody else has sent.
 """
 
 from dataclasses import dataclass
@@ -25,7 +26,7 @@
 
 
 class ClaimState(str, Enum):
-    """How far the claimed request came."""
+    """Progress of the claimed request."""
 
     claimed = 'claimed'
     released = 'released'
@@ -34,9 +35,10 @@
 
 
 class Claimant(msgspec.Struct, frozen=True):
-    """The one attempt that holds a claim.
+    """The attempt that holds a claim.
 
-    :param process: identifier of the process's start.
+    :param host: name of the gateway's host.
+    :param process: identifies the gateway process; new at each start.
     :param attempt: identifier of the caller's request.
     """
 
@@ -46,9 +48,9 @@
 
 
 class RecordedAnswer(msgspec.Struct, frozen=True):
-    """Answer of a claimed request.
+    """Stored response to a claimed request, replayed to repetitions.
 
-    :param body: the whole body, None where it was too large to keep.
+    :param body: the complete body, None if it was too large to store.
     """
 
     status: int
@@ -57,11 +59,12 @@
 
 
 class Claim(msgspec.Struct, frozen=True):
-    """Body of a claim's row.
+    """Encoded body of a claim's row.
 
     :param fingerprint: digest of the claimed request.
-    :param ends_at: Unix time by which the request has ended.
-    :param expires_at: Unix time after which the key may be used anew.
+    :param ends_at: Unix time, in seconds, by which the request has ended.
+    :param expires_at: Unix time, in seconds, after which the idempotency key
+        may be used for another request.
     """
 
     claimant: Claimant
@@ -74,12 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimHeld:
-    """The row found is the asker's own."""
+    """The existing claim belongs to the same attempt."""
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimFree:
-    """The row found may be replaced: released, or expired."""
+    """The existing claim was released or has expired; it may be replaced."""
 
 
 ClaimVerdict = (
@@ -93,11 +96,11 @@
 
 
 def evaluate_claim(found: Claim, wanted: Claim, now: float) -> ClaimVerdict:
-    """Return what an existing claim means for a request.
+    """Decide how to treat a request whose idempotency key has a claim.
 
-    :param found: the claim in the table.
+    :param found: the stored claim.
     :param wanted: the claim that the request would insert.
-    :param now: Unix time.
+    :param now: Unix time, in seconds.
     """
     if found.claimant == wanted.claimant:
         return ClaimHeld()
@@ -110,13 +113,17 @@
             _STATUS_UNPROCESSABLE,
             'the idempotency key belongs to another request',
         )
-    return _judge_repeat(found, now)
+    return _evaluate_repetition(found, now)
 
 
 def fingerprint_request(method: str, target: str, body_digest: bytes) -> str:
-    """Return a digest that differs between different requests.
+    """Return a digest that identifies a request by its content.
 
-    :param target: path and query, without keys.
+    Each part is hashed with its length, so that different requests can't
+    yield the same input.
+
+    :param target: path and query, without API keys.
+    :param body_digest: digest of the body.
 
     >>> one = fingerprint_request('POST', '/a', b'x')
     >>> one == fingerprint_request('POST', '/ax', b'')
@@ -130,7 +137,7 @@
     return digest.hexdigest()
 
 
-def _judge_repeat(
+def _evaluate_repetition(
     found: Claim,
     now: float,
 ) -> RecordedAnswer | AnsweredBefore | UnknownOutcome:
--- a/crocusshunt/delivery/_ejection.py
+++ b/crocusshunt/delivery/_ejection.py
@@ -1,4 +1,4 @@
-"""Servers that fail get no work for a while, then a little."""
+"""Outlier detection: failing servers are ejected, then ramped up again."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -8,15 +8,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionSettings:
-    """When servers are ejected and how they come back.
-
-    :param failures: failures in a row that eject a server.
-    :param base_s: length of the first ejection, in seconds; it doubles with
-        each one in a row.
-    :param longest_s: greatest length of an ejection, in seconds.
-    :param greatest_share: part of a pool that may be ejected at once.
-    :param ramp_s: seconds over which a returning server's share grows.
-    :param ramp_start: share with which it begins.
+    """When servers are ejected, and how they return (slow start).
+
+    :param failures: consecutive failures that eject a server.
+    :param base_s: duration of the first ejection, in seconds; it doubles with
+        each consecutive ejection.
+    :param longest_s: greatest duration of an ejection, in seconds.
+    :param greatest_share: fraction of a pool that may be ejected at once.
+    :param ramp_s: time in which a returning server's share of its normal
+        work grows to 1, in seconds.
+    :param ramp_start: share of its normal work at its return.
     """
 
     failures: int = 2
@@ -36,18 +37,22 @@
 
 
 class OutlierDetector:
-    """Follows failures and answers of each server.
+    """Tracks consecutive failures of each server and ejects failing ones.
 
-    A server that ran a request well is forgotten once its ramp is over.
+    The record of a server is dropped when it answers a request after its
+    slow start is over.
     """
 
     def __init__(self, settings: EjectionSettings) -> None:
-        """Start without records; every server has its full share."""
+        """Start without records; every server may get all its normal work."""
         self._settings = settings
         self._records: dict[str, _Record] = {}
 
     def note_success(self, server: Server, now: float) -> None:
-        """Count an answer."""
+        """Record a response; it ends a run of failures.
+
+        :param now: monotonic time, in seconds.
+        """
         record = self._records.get(server.name)
         if record is None:
             return
@@ -56,19 +61,23 @@
             self._records.pop(server.name)
 
     def note_failure(self, server: Server, now: float) -> None:
-        """Count a failure, and eject after several in a row."""
+        """Record a failure; eject the server after several in a row.
+
+        :param now: monotonic time, in seconds.
+        """
         record = self._records.setdefault(server.name, _Record())
         record.failures += 1
         if record.failures < self._settings.failures:
             return
-        length = self._settings.base_s * 2**record.ejections
+        duration_s = self._settings.base_s * 2**record.ejections
         record.ejections += 1
+        # After its return a single failure ejects the server again.
         record.failures = self._settings.failures - 1
-        record.ejected_until = now + min(length, self._settings.longest_s)
+        record.ejected_until = now + min(duration_s, self._settings.longest_s)
         record.returned_at = record.ejected_until
 
     def note_return(self, server: Server, now: float) -> None:
-        """Begin the slow start of a server that came back."""
+        """Begin the slow start of a server that has returned."""
         record = self._records.setdefault(server.name, _Record())
         record.returned_at = now
 
@@ -77,20 +86,31 @@
         servers: Iterable[Server],
         now: float,
     ) -> tuple[Server, ...]:
-        """Return the servers that may get work.
+        """Return the servers that may get requests.
 
-        At most a part of the pool is left out: those whose ejection ends
-        last. A pool of one server always keeps it.
+        At most ``greatest_share`` of the pool, rounded down, is left out:
+        the servers whose ejection ends last. So with the default of one half
+        a pool of one server always keeps it.
+
+        :param servers: all servers of the pool.
         """
-        pool = tuple(servers)
-        ejected = [one for one in pool if self._is_ejected(one, now)]
-        allowed = int(len(pool) * self._settings.greatest_share)
+        all_servers = tuple(servers)
+        ejected = [
+            server for server in all_servers if self._is_ejected(server, now)
+        ]
+        allowed = int(len(all_servers) * self._settings.greatest_share)
         ejected.sort(key=self._rank, reverse=True)
         left_out = {server.name for server in ejected[:allowed]}
-        return tuple(one for one in pool if one.name not in left_out)
+        return tuple(
+            server for server in all_servers if server.name not in left_out
+        )
 
     def compute_share(self, server: Server, now: float) -> float:
-        """Return a server's share of its normal work, up to 1."""
+        """Return the fraction of its normal work that a server may get.
+
+        It grows linearly from ``ramp_start`` to 1 in ``ramp_s`` seconds
+        after the server's return.
+        """
         record = self._records.get(server.name)
         if record is None or record.returned_at is None:
             return 1
--- a/crocusshunt/delivery/_forwarding.py
+++ b/crocusshunt/delivery/_forwarding.py
@@ -1,4 +1,4 @@
-"""One attempt at a backend server, streamed both ways."""
+"""Streaming of one attempt of a request to a backend server and back."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from dataclasses import dataclass
@@ -22,22 +22,22 @@
 
 _CHUNK_BYTES = 65_536
 _MAX_HEADER_BYTES = 16_384
-_IDLE_S = 4
-_CONNECT_S = 1
+_KEEPALIVE_S = 4
+_CONNECT_TIMEOUT_S = 1
 _OVERLOAD_RETRY_S = 1
 _STATUS_BAD_GATEWAY = 502
 _STATUS_UNAVAILABLE = 503
 _STATUS_GATEWAY_TIMEOUT = 504
-_BODILESS = frozenset((204, 304))
+_BODILESS_STATUSES = frozenset((204, 304))
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardRequest:
     """A request as the backend server will see it.
 
-    :param target: path and query, as sent on the wire.
-    :param body: chunks of the body, None without one.
-    :param timeout_s: what remains of the request's deadline, in seconds.
+    :param target: encoded path and query, as sent to the server.
+    :param body: chunks of the body or all of it, None without one.
+    :param timeout_s: time left until the request's deadline, in seconds.
     :param is_repeatable: whether an attempt of unknown outcome may be
         repeated.
     """
@@ -56,10 +56,11 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """One try at one server.
+    """One attempt to have one server run a request.
 
-    :param relay: passes the answer on to the caller.
-    :param relayed_status: status of the answer whose relay began.
+    :param relay: streams the response to the caller.
+    :param relayed_status: HTTP status of the response once its relay to the
+        caller has begun, None before.
     """
 
     server: Server
@@ -69,33 +70,33 @@
 
 
 class Forwarder:
-    """Sends attempts; owns the connections to backend servers.
+    """Sends attempts, and owns the connections to backend servers.
 
-    A connection is reused only for requests that may be repeated, towards
-    servers whose answers echo the request's id, and each such answer is
-    compared with its request. So an answer that comes late or twice on a
-    reused connection never reaches another request's caller.
+    A connection is reused only for repeatable requests, to servers whose
+    responses echo the request id; each such response is compared with its
+    request. So a late or duplicate response on a reused connection never
+    reaches the caller of another request.
     """
 
     def __init__(self) -> None:
-        """Prepare; connections open on first use."""
-        self._shared: aiohttp.ClientSession | None = None
-        self._single: aiohttp.ClientSession | None = None
-        self._echoing: set[str] = set()
+        """Create a forwarder without connections; they open on first use."""
+        self._reusing_session: aiohttp.ClientSession | None = None
+        self._closing_session: aiohttp.ClientSession | None = None
+        self._echoing_addresses: set[str] = set()
 
     async def start(self) -> None:
         """Create the client sessions."""
-        self._shared = _create_session(force_close=False)
-        self._single = _create_session(force_close=True)
+        self._reusing_session = _create_session(force_close=False)
+        self._closing_session = _create_session(force_close=True)
 
     async def stop(self) -> None:
         """Close all connections."""
-        for session in (self._shared, self._single):
+        for session in (self._reusing_session, self._closing_session):
             if session is not None:
                 await session.close()
 
     async def send(self, attempt: Attempt) -> Outcome:
-        """Send a request and relay its answer."""
+        """Send a request to a server and relay the response to the caller."""
         try:
             return await self._exchange(attempt)
         except (aiohttp.ClientError, ConnectionError, TimeoutError) as error:
@@ -103,13 +104,13 @@
                 return ResponseInterrupted(
                     attempt.relayed_status, type(error).__name__
                 )
-            return _classify(error)
+            return _classify_error(error)
 
     async def _exchange(self, attempt: Attempt) -> Outcome:
         request = attempt.request
         address = attempt.server.address
-        is_reused = request.is_repeatable and address in self._echoing
-        session = self._shared if is_reused else self._single
+        is_reused = request.is_repeatable and address in self._echoing_addresses
+        session = self._reusing_session if is_reused else self._closing_session
         assert session is not None  # noqa: S101
         async with session.request(
             request.method,
@@ -118,11 +119,13 @@
             data=request.body,
             timeout=aiohttp.ClientTimeout(
                 total=request.timeout_s,
-                sock_connect=_CONNECT_S,
+                sock_connect=_CONNECT_TIMEOUT_S,
             ),
             allow_redirects=False,
         ) as response:
-            refusal = self._check(attempt, response, is_reused=is_reused)
+            refusal = self._check_response(
+                attempt, response, is_reused=is_reused
+            )
             if refusal is not None:
                 response.close()
                 return refusal
@@ -130,7 +133,7 @@
             await attempt.relay(response)
             return Answered(response.status)
 
-    def _check(
+    def _check_response(
         self,
         attempt: Attempt,
         response: aiohttp.ClientResponse,
@@ -140,13 +143,13 @@
         address = attempt.server.address
         echoed = response.headers.get(REQUEST_ID_HEADER)
         if echoed == attempt.request.request_id:
-            self._echoing.add(address)
+            self._echoing_addresses.add(address)
         elif echoed is not None or is_reused:
-            self._echoing.discard(address)
+            self._echoing_addresses.discard(address)
             return UnknownOutcome(
                 'answer-mismatched',
                 _STATUS_BAD_GATEWAY,
-                'the backend server answered another request',
+                'the backend server sent the response to another request',
             )
         if _is_overload(response):
             return NotRun(
@@ -159,12 +162,12 @@
             return UnknownOutcome(
                 'answer-unframed',
                 _STATUS_BAD_GATEWAY,
-                'the end of the backend server answer cannot be proved',
+                'the response has neither Content-Length nor chunked coding',
             )
         return None
 
 
-def _classify(error: Exception) -> NotRun | UnknownOutcome:
+def _classify_error(error: Exception) -> NotRun | UnknownOutcome:
     connecting = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
     if isinstance(error, connecting):
         return NotRun(
@@ -176,10 +179,14 @@
         return UnknownOutcome(
             'deadline-exceeded',
             _STATUS_GATEWAY_TIMEOUT,
-            'no answer came before the deadline',
+            'no response arrived before the deadline',
         )
-    lost = (aiohttp.ClientConnectionError, ConnectionError)
-    code = 'server-disconnected' if isinstance(error, lost) else 'bad-answer'
+    disconnected = (aiohttp.ClientConnectionError, ConnectionError)
+    code = (
+        'server-disconnected'
+        if isinstance(error, disconnected)
+        else 'bad-answer'
+    )
     return UnknownOutcome(code, _STATUS_BAD_GATEWAY, type(error).__name__)
 
 
@@ -189,7 +196,7 @@
 
 
 def _is_unframed(response: aiohttp.ClientResponse) -> bool:
-    if response.method == 'HEAD' or response.status in _BODILESS:
+    if response.method == 'HEAD' or response.status in _BODILESS_STATUSES:
         return False
     coding = response.headers.get('Transfer-Encoding', '').lower()
     return 'Content-Length' not in response.headers and 'chunked' not in coding
@@ -199,7 +206,7 @@
     connector = (
         aiohttp.TCPConnector(limit=0, force_close=True)
         if force_close
-        else aiohttp.TCPConnector(limit=0, keepalive_timeout=_IDLE_S)
+        else aiohttp.TCPConnector(limit=0, keepalive_timeout=_KEEPALIVE_S)
     )
     session = aiohttp.ClientSession(
         connector=connector,
@@ -215,7 +222,7 @@
         max_line_size=_MAX_HEADER_BYTES,
         max_field_size=_MAX_HEADER_BYTES,
     )
-    # The library would send some methods again after a disconnect, outside
-    # the retry budget; the pinned version offers no public switch.
+    # aiohttp would resend requests of some methods after a disconnect, which
+    # bypasses the retry budget; the pinned version has no public setting.
     session._retry_connection = False  # noqa: SLF001
     return session
--- a/crocusshunt/delivery/_headers.py
+++ b/crocusshunt/delivery/_headers.py
@@ -1,4 +1,4 @@
-"""Headers, query and cookies between callers and backend servers."""
+"""Headers, query and cookies passed between callers and backend servers."""
 
 from collections.abc import Iterable, Iterator
 from urllib.parse import unquote_plus
@@ -30,7 +30,7 @@
         'upgrade',
     ),
 )
-_REPLACED = frozenset(
+_REPLACED_HEADERS = frozenset(
     name.lower()
     for name in (
         KEY_HEADER,
@@ -42,15 +42,16 @@
         'Expect',
     )
 )
-# A caller may not use Connection to drop what the request depends on.
-_KEPT = frozenset(('host', 'content-length'))
-_SHORTEST_KEY = 8
+# The Connection header must not remove the headers that a request depends on.
+_PROTECTED_HEADERS = frozenset(('host', 'content-length'))
+# Shorter keys are not searched for in other headers.
+_MIN_SEARCHED_KEY_LENGTH = 8
 
 Headers = CIMultiDictProxy[str] | CIMultiDict[str]
 
 
 def find_keys(headers: Headers, raw_query: str) -> frozenset[str]:
-    """Return every different key that a request carries.
+    """Return all distinct API keys in headers, query and cookies of a request.
 
     :param raw_query: the query as it was sent, without question mark.
 
@@ -71,7 +72,7 @@
 
 
 def strip_keys_from_query(raw_query: str) -> str:
-    """Return a query without keys, otherwise as it was sent.
+    """Return a query without API keys, otherwise as it was sent.
 
     >>> strip_keys_from_query('a=1&Api_Key=ck&b=%20')
     'a=1&b=%20'
@@ -86,20 +87,21 @@
 ) -> CIMultiDict[str]:
     """Return the headers for the backend server.
 
-    Keys, hop-by-hop headers and those that only the gateway may set are
-    left out; so is every other header that repeats a key, such as a
-    referrer.
+    API keys, hop-by-hop headers and those that only the gateway may set are
+    removed, as is every other header that contains a key, such as Referer.
 
     :param added: headers that the gateway sets.
-    :param keys: the keys that the request carries.
+    :param keys: the API keys that the request carries.
     """
-    dropped = HOP_BY_HOP | _REPLACED | find_connection_options(headers)
-    shown = tuple(key for key in keys if len(key) >= _SHORTEST_KEY)
-    kept = CIMultiDict(_select(headers, dropped, shown))
+    dropped = HOP_BY_HOP | _REPLACED_HEADERS | find_connection_options(headers)
+    searched_keys = tuple(
+        key for key in keys if len(key) >= _MIN_SEARCHED_KEY_LENGTH
+    )
+    kept = CIMultiDict(_filter_headers(headers, dropped, searched_keys))
     cookies = [
         f'{name}={text}'
         for name, text in _split_cookies(headers.getall(_COOKIE, ()))
-        if not _is_key_name(name) and not _repeats_key(text, shown)
+        if not _is_key_name(name) and not _contains_key(text, searched_keys)
     ]
     if cookies:
         kept[_COOKIE] = '; '.join(cookies)
@@ -108,7 +110,7 @@
 
 
 def prepare_answer_headers(headers: Headers) -> CIMultiDict[str]:
-    """Return a backend server's headers without hop-by-hop ones."""
+    """Return a response's headers without the hop-by-hop ones."""
     dropped = HOP_BY_HOP | find_connection_options(headers)
     return CIMultiDict(
         (name, text)
@@ -118,35 +120,38 @@
 
 
 def find_connection_options(headers: Headers) -> frozenset[str]:
-    """Return the folded names that the Connection header lists."""
+    """Return the normalised header names that the Connection header lists.
+
+    Reference: RFC 9110, section 7.6.1, "Connection".
+    """
     line = ','.join(headers.getall('Connection', ()))
     names = line.replace(' ', '').replace('\t', '').split(',')
-    return frozenset(map(normalize_header_name, names)) - _KEPT
+    return frozenset(map(normalize_header_name, names)) - _PROTECTED_HEADERS
 
 
 def normalize_header_name(name: str) -> str:
-    """Return a header name as servers may compare it.
+    """Return a header name in lower case, with hyphens for underscores.
 
     Some servers read underscores in header names as hyphens.
     """
     return name.lower().replace('_', '-')
 
 
-def _select(
+def _filter_headers(
     headers: Headers,
     dropped: frozenset[str],
     keys: tuple[str, ...],
 ) -> Iterator[tuple[str, str]]:
     for name, text in headers.items():
-        if normalize_header_name(name) not in dropped and not _repeats_key(
+        if normalize_header_name(name) not in dropped and not _contains_key(
             text, keys
         ):
             yield name, text
 
 
-def _repeats_key(text: str, keys: tuple[str, ...]) -> bool:
-    spelled = (text, unquote_plus(text))
-    return any(key in one for key in keys for one in spelled)
+def _contains_key(text: str, keys: tuple[str, ...]) -> bool:
+    spellings = (text, unquote_plus(text))
+    return any(key in one for key in keys for one in spellings)
 
 
 def _has_key(part: str) -> bool:
--- a/crocusshunt/delivery/_outcomes.py
+++ b/crocusshunt/delivery/_outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a request."""
+"""Outcomes of requests, and the problem documents that report failures."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The backend server's whole answer reached the caller.
+    """The backend server's complete response was relayed to the caller.
 
-    :param status: HTTP status of the answer.
+    :param status: HTTP status of the response.
     """
 
     status: int
@@ -19,11 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """No backend server ran the request, provably.
+    """It is certain that no backend server ran the request.
 
     :param code: machine-readable reason.
     :param status: HTTP status for the caller.
-    :param retry_after_s: seconds after which to ask again, if known.
+    :param detail: readable reason.
+    :param retry_after_s: seconds after which to retry, if known.
     """
 
     code: str
@@ -34,9 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownOutcome:
-    """A backend server may have run the request.
+    """It is unknown whether a backend server ran the request.
 
-    :param retry_after_s: seconds after which to ask again, if known.
+    :param code: machine-readable reason.
+    :param status: HTTP status for the caller.
+    :param detail: readable reason.
+    :param retry_after_s: seconds after which to retry, if known.
     """
 
     code: str
@@ -47,12 +51,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseInterrupted:
-    """The answer ended after its start reached the caller.
+    """The response ended early, after its start was relayed to the caller.
 
-    The caller's connection was broken, so it cannot take the part for the
-    whole.
+    The caller's connection was closed, so that it cannot mistake the partial
+    response for a complete one.
 
-    :param status: HTTP status of the answer.
+    :param status: HTTP status of the response.
+    :param detail: type of the error that ended it.
     """
 
     status: int
@@ -63,7 +68,7 @@
 class AnsweredBefore:
     """An earlier request with the same idempotency key was answered.
 
-    :param status: HTTP status of that answer, whose body was not kept.
+    :param status: HTTP status of that response, whose body was not stored.
     """
 
     status: int
@@ -74,12 +79,12 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Problem document for a caller.
+    """Problem document that is sent to a caller.
 
     Reference: RFC 9457, "Problem Details for HTTP APIs".
 
     :param outcome: ``not_run``, ``unknown`` or ``answered``.
-    :param answered_status: HTTP status of the earlier answer.
+    :param answered_status: HTTP status of the earlier response, if any.
     """
 
     type: str
--- a/crocusshunt/delivery/_paths.py
+++ b/crocusshunt/delivery/_paths.py
@@ -1,4 +1,4 @@
-"""Paths that mean the same to the gateway and to every backend server."""
+"""Normalisation of paths, so that gateway and servers read them alike."""
 
 import re
 from dataclasses import dataclass
@@ -20,7 +20,7 @@
 
 @dataclass(unsafe_hash=True)
 class AmbiguousPathError(CrocusError):
-    """A path that servers read in different ways.
+    """A path that different servers may resolve differently.
 
     :param path: the path as it was sent.
     """
@@ -32,10 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NormalPath:
-    """A path in its one normal form.
+    """A path in normal form.
 
-    :param raw: as it is sent to the backend server.
-    :param decoded: as routes are matched.
+    :param raw: percent-encoded path, as sent to the backend server.
+    :param decoded: percent-decoded path, on which routes are matched.
     """
 
     raw: str
@@ -43,11 +43,11 @@
 
 
 def normalize_path(raw_path: str) -> Result[NormalPath, AmbiguousPathError]:
-    """Decode unreserved characters; refuse what remains ambiguous.
+    """Decode unreserved characters; refuse paths that stay ambiguous.
 
     Dot segments, empty segments, and encoded slashes, backslashes and zero
     bytes are refused rather than resolved: a backend server might resolve
-    them in another way, and so run a request of another route.
+    them differently, and so run a request that belongs to another route.
 
     :param raw_path: the path as it was sent, without query.
 
@@ -72,7 +72,8 @@
 
 
 def _has_dot_segment(raw: str) -> bool:
-    # Some servers cut parameters off a segment before they resolve dots.
+    # Some servers strip the parameters of a segment (";x") before they
+    # resolve dot segments.
     return any(
         segment.replace('%3B', ';').partition(';')[0] in _DOT_SEGMENTS
         for segment in raw.split('/')
--- a/crocusshunt/delivery/_quarantine.py
+++ b/crocusshunt/delivery/_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash the backend servers that run them."""
+"""Quarantine of requests that crash the backend servers that run them."""
 
 from dataclasses import dataclass
 
@@ -13,8 +13,8 @@
 class QuarantineSettings:
     """When a request is quarantined.
 
-    :param losses: crashes of backend servers before it is.
-    :param window_s: how long a loss counts, in seconds.
+    :param losses: number of crashes after which a request is quarantined.
+    :param window_s: how long a crash counts, in seconds.
     """
 
     losses: int = 2
@@ -24,9 +24,11 @@
 class CrashSuspicion(msgspec.Struct, frozen=True):
     """Crashes of backend servers that a request seems to have caused.
 
-    :param losses: the server and the attempt of each; a server that came
-        back and crashed again counts twice.
-    :param expires_at: Unix time.
+    :param fingerprint: digest of the request.
+    :param losses: server and attempt of each crash; a server that restarted
+        and crashed again counts twice.
+    :param expires_at: Unix time, in seconds, after which the crashes no
+        longer count.
     """
 
     customer: str
@@ -36,12 +38,14 @@
 
     @property
     def row_key(self) -> str:
-        """Return the key of its row; a customer sees only its own."""
+        """Return the key of the stored row, separate for each customer."""
         return f'{self.customer}/{self.fingerprint}'
 
 
 class QuarantineLedger:
-    """Suspicions by customer and request.
+    """Crashes that requests seem to have caused, by customer and request.
+
+    A request is quarantined once ``losses`` crashes are known of it.
 
     >>> ledger = QuarantineLedger(QuarantineSettings())
     >>> lost = CrashSuspicion('court', 'f1', ('s1 r1', 's1 r2'), 600)
@@ -54,14 +58,19 @@
     """
 
     def __init__(self, settings: QuarantineSettings) -> None:
-        """Start without suspicions."""
+        """Create an empty ledger."""
         self._settings = settings
-        self._held: dict[str, dict[str, CrashSuspicion]] = {}
+        self._by_customer: dict[str, dict[str, CrashSuspicion]] = {}
 
     def has_suspects(self, customer: str, now: float) -> bool:
-        """Tell whether a customer's requests must be looked at."""
-        held = self._held.get(customer, {})
-        return any(now < one.expires_at for one in held.values())
+        """Tell whether any request of a customer is under suspicion.
+
+        :param now: Unix time, in seconds.
+        """
+        by_fingerprint = self._by_customer.get(customer, {})
+        return any(
+            now < suspicion.expires_at for suspicion in by_fingerprint.values()
+        )
 
     def note_loss(
         self,
@@ -70,31 +79,35 @@
         loss: str,
         now: float,
     ) -> CrashSuspicion:
-        """Count a server that went away while it ran a request.
+        """Record that a server crashed while it ran a request.
 
-        :param loss: the server and the attempt, unique.
+        :param loss: unique text that names the server and the attempt.
+        :param now: Unix time, in seconds.
         """
         expires_at = now + self._settings.window_s
-        lost = CrashSuspicion(customer, fingerprint, (loss,), expires_at)
-        return self.merge(lost, now)
+        suspicion = CrashSuspicion(customer, fingerprint, (loss,), expires_at)
+        return self.merge(suspicion, now)
 
-    def merge(self, seen: CrashSuspicion, now: float) -> CrashSuspicion:
-        """Add a suspicion, and return what is known together with it."""
-        held = self._held.setdefault(seen.customer, {})
-        known = held.get(seen.fingerprint)
+    def merge(self, suspicion: CrashSuspicion, now: float) -> CrashSuspicion:
+        """Add a suspicion; return it merged with the crashes already known."""
+        by_fingerprint = self._by_customer.setdefault(suspicion.customer, {})
+        known = by_fingerprint.get(suspicion.fingerprint)
         if known is not None and now < known.expires_at:
-            seen = msgspec.structs.replace(
-                seen,
-                losses=tuple(sorted({*known.losses, *seen.losses})),
-                expires_at=max(known.expires_at, seen.expires_at),
+            suspicion = msgspec.structs.replace(
+                suspicion,
+                losses=tuple(sorted({*known.losses, *suspicion.losses})),
+                expires_at=max(known.expires_at, suspicion.expires_at),
             )
-        held[seen.fingerprint] = seen
-        return seen
+        by_fingerprint[suspicion.fingerprint] = suspicion
+        return suspicion
 
     def forget(self, customer: str, fingerprint: str) -> bool:
-        """Drop the suspicion of a request that ran well."""
-        held = self._held.get(customer, {})
-        return held.pop(fingerprint, None) is not None
+        """Drop the suspicion of a request that ran without a crash.
+
+        Return whether there was one.
+        """
+        by_fingerprint = self._by_customer.get(customer, {})
+        return by_fingerprint.pop(fingerprint, None) is not None
 
     def check(
         self,
@@ -102,34 +115,37 @@
         fingerprint: str,
         now: float,
     ) -> NotRun | None:
-        """Refuse a quarantined request."""
-        seen = self._held.get(customer, {}).get(fingerprint)
-        if seen is None or now >= seen.expires_at:
+        """Return a refusal if the request is quarantined, else None.
+
+        :param now: Unix time, in seconds.
+        """
+        suspicion = self._by_customer.get(customer, {}).get(fingerprint)
+        if suspicion is None or now >= suspicion.expires_at:
             return None
-        if len(seen.losses) < self._settings.losses:
+        if len(suspicion.losses) < self._settings.losses:
             return None
         return NotRun(
             'request-quarantined',
             _STATUS_UNPROCESSABLE,
-            'backend servers went away each time they ran this request',
-            seen.expires_at - now,
+            'backend servers crashed each time they ran this request',
+            suspicion.expires_at - now,
         )
 
     def expire(self, now: float) -> None:
-        """Drop suspicions that no longer count."""
-        self._held = {
+        """Drop suspicions that have expired."""
+        self._by_customer = {
             customer: kept
-            for customer, held in self._held.items()
-            if (kept := _keep_fresh(held, now))
+            for customer, by_fingerprint in self._by_customer.items()
+            if (kept := _drop_expired(by_fingerprint, now))
         }
 
 
-def _keep_fresh(
-    held: dict[str, CrashSuspicion],
+def _drop_expired(
+    by_fingerprint: dict[str, CrashSuspicion],
     now: float,
 ) -> dict[str, CrashSuspicion]:
     return {
-        fingerprint: one
-        for fingerprint, one in held.items()
-        if now < one.expires_at
+        fingerprint: suspicion
+        for fingerprint, suspicion in by_fingerprint.items()
+        if now < suspicion.expires_at
     }
--- a/crocusshunt/delivery/_queue.py
+++ b/crocusshunt/delivery/_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for room, bounded and fair."""
+"""Bounded, fair queue of requests that wait for a free server slot."""
 
 from collections import Counter, OrderedDict, deque
 from collections.abc import Iterator
@@ -9,17 +9,18 @@
 from crocusshunt.core import CrocusError
 from crocusshunt.routing import Priority
 
-_Line = OrderedDict[str, deque['QueuedRequest']]
+_CustomerQueues = OrderedDict[str, deque['QueuedRequest']]
 
 
 @dataclass(frozen=True, slots=True)
 class QueueSettings:
     """Bounds of a queue.
 
-    :param capacity: requests that wait at once.
-    :param aging_s: wait, in seconds, after which a request of any priority
-        may be taken out of turn.
-    :param aged_turn: every how many takes the oldest aged request is next.
+    :param capacity: greatest number of queued requests.
+    :param aging_s: time in the queue, in seconds, after which a request of
+        any priority counts as aged.
+    :param aged_turn: every ``aged_turn``-th take returns the oldest aged
+        request, if there is one, ahead of all priorities.
     """
 
     capacity: int = 1024
@@ -29,11 +30,12 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedRequest:
-    """One request that waits.
+    """One request in the queue.
 
-    :param number: order of arrival, unique in the queue.
-    :param arrived_at: monotonic time.
-    :param deadline: monotonic time after which it need not start.
+    :param number: sequence number of its arrival, unique in the queue.
+    :param arrived_at: monotonic time, in seconds.
+    :param deadline: monotonic time, in seconds, after which the request need
+        not be started.
     """
 
     number: int
@@ -45,7 +47,10 @@
 
 @dataclass(unsafe_hash=True)
 class QueueFullError(CrocusError):
-    """The queue is full and the customer holds the greatest part of it."""
+    """The queue is full, and no other customer has enough requests to displace.
+
+    :param customer: customer of the refused request.
+    """
 
     code = 'queue-full'
 
@@ -54,7 +59,7 @@
 
 @dataclass(unsafe_hash=True)
 class DeadlineUnreachableError(CrocusError):
-    """The request would not start before its deadline.
+    """The request is not expected to start before its deadline.
 
     :param wait_s: expected wait, in seconds.
     """
@@ -68,84 +73,94 @@
 
 
 class RequestQueue:
-    """Takes urgent requests first, customers in turn, none too late.
+    """Queue with strict priorities and round robin between customers.
 
-    Within a priority each customer's next request comes in turn: deficit
-    round robin where every request costs the same. A request that waited
-    long is taken out of turn now and then, so that none starves.
+    Higher priorities are taken first. Within a priority, customers are
+    served by deficit round robin in which every request costs the same. Every
+    ``aged_turn``-th take returns the oldest aged request instead, so that no
+    request starves.
 
     Reference: M. Shreedhar, G. Varghese, "Efficient fair queuing using
     deficit round-robin", IEEE/ACM Transactions on Networking 4(3), 1996.
     """
 
     def __init__(self, settings: QueueSettings) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._settings = settings
-        self._lines: dict[Priority, _Line] = {
+        self._queues: dict[Priority, _CustomerQueues] = {
             priority: OrderedDict() for priority in Priority
         }
         self._by_number: dict[int, QueuedRequest] = {}
         self._takes = 0
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of queued requests."""
         return len(self._by_number)
 
     def offer(
         self,
-        waiting: QueuedRequest,
-        turn_s: float,
+        request: QueuedRequest,
+        take_interval_s: float,
     ) -> Result[QueuedRequest | None, QueueError]:
-        """Add a request, or refuse it early.
+        """Add a request, or refuse it if it can't be served.
 
-        When the queue is full, the newest request of the customer that
-        holds the most gives way, and is returned.
+        A request is refused at once if its expected wait, the number of
+        requests ahead of it times ``take_interval_s``, exceeds its deadline.
+        When the queue is full, the customer with the most queued requests
+        loses its newest request of the lowest priority, which is returned;
+        the new request is refused if its own customer would then still hold
+        as many.
 
-        :param turn_s: seconds between two takes, as lately measured.
+        :param take_interval_s: recently measured time between two takes, in
+            seconds.
         """
-        wait_s = self._count_ahead(waiting) * turn_s
-        if waiting.arrived_at + wait_s > waiting.deadline:
+        wait_s = self._count_ahead(request) * take_interval_s
+        if request.arrived_at + wait_s > request.deadline:
             return Err(DeadlineUnreachableError(wait_s))
         displaced = None
         if len(self) >= self._settings.capacity:
-            displaced = self._find_displaced(waiting)
+            displaced = self._find_displaced(request)
             if displaced is None:
-                return Err(QueueFullError(waiting.customer))
+                return Err(QueueFullError(request.customer))
             self.remove(displaced)
-        held = self._lines[waiting.priority].setdefault(
-            waiting.customer,
+        queued = self._queues[request.priority].setdefault(
+            request.customer,
             deque(),
         )
-        # A request that comes back from a server without room keeps its turn.
-        if held and waiting.number < held[0].number:
-            held.appendleft(waiting)
+        # A request that a server turned away for lack of a free slot is queued
+        # again in its former position.
+        if queued and request.number < queued[0].number:
+            queued.appendleft(request)
         else:
-            held.append(waiting)
-        self._by_number[waiting.number] = waiting
+            queued.append(request)
+        self._by_number[request.number] = request
         return Ok(displaced)
 
     def take(self, now: float) -> QueuedRequest | None:
-        """Remove and return the request whose turn it is."""
+        """Remove and return the next request, or None if the queue is empty.
+
+        :param now: monotonic time, in seconds.
+        """
         self._takes += 1
         if self._takes % self._settings.aged_turn == 0:
             aged = self._find_aged(now)
             if aged is not None:
                 self.remove(aged)
                 return aged
-        for line in self._lines.values():
-            if line:
-                return self._take_in_turn(line)
+        for queues in self._queues.values():
+            if queues:
+                return self._take_next(queues)
         return None
 
-    def remove(self, waiting: QueuedRequest) -> bool:
-        """Remove a request; return whether it still waited."""
-        if self._by_number.pop(waiting.number, None) is None:
+    def remove(self, request: QueuedRequest) -> bool:
+        """Remove a request; return whether it was still queued."""
+        if self._by_number.pop(request.number, None) is None:
             return False
-        line = self._lines[waiting.priority]
-        held = line[waiting.customer]
-        held.remove(waiting)
-        if not held:
-            line.pop(waiting.customer)
+        queues = self._queues[request.priority]
+        queued = queues[request.customer]
+        queued.remove(request)
+        if not queued:
+            queues.pop(request.customer)
         return True
 
     def _find_aged(self, now: float) -> QueuedRequest | None:
@@ -155,47 +170,47 @@
         is_aged = now - oldest.arrived_at >= self._settings.aging_s
         return oldest if is_aged else None
 
-    def _take_in_turn(self, line: _Line) -> QueuedRequest:
-        customer, held = next(iter(line.items()))
-        taken = held.popleft()
-        if held:
-            line.move_to_end(customer)
+    def _take_next(self, queues: _CustomerQueues) -> QueuedRequest:
+        customer, queued = next(iter(queues.items()))
+        taken = queued.popleft()
+        if queued:
+            queues.move_to_end(customer)
         else:
-            line.pop(customer)
+            queues.pop(customer)
         self._by_number.pop(taken.number)
         return taken
 
-    def _count_ahead(self, waiting: QueuedRequest) -> int:
+    def _count_ahead(self, request: QueuedRequest) -> int:
         ahead = 0
-        for priority, line in self._lines.items():
-            if priority is waiting.priority:
-                return ahead + _count_in_turn(line, waiting.customer)
-            ahead += sum(len(held) for held in line.values())
+        for priority, queues in self._queues.items():
+            if priority is request.priority:
+                return ahead + _count_ahead_in_class(queues, request.customer)
+            ahead += sum(len(queued) for queued in queues.values())
         return ahead
 
-    def _find_displaced(self, newcomer: QueuedRequest) -> QueuedRequest | None:
+    def _find_displaced(self, request: QueuedRequest) -> QueuedRequest | None:
         counts = self._count_by_customer()
-        heaviest, greatest = counts.most_common(1)[0]
-        if greatest <= counts[newcomer.customer] + 1:
+        customer, count = counts.most_common(1)[0]
+        if count <= counts[request.customer] + 1:
             return None
-        return next(self._list_newest_last_priority(heaviest))
+        return next(self._iterate_newest(customer))
 
     def _count_by_customer(self) -> Counter[str]:
-        return Counter(held.customer for held in self._by_number.values())
+        return Counter(queued.customer for queued in self._by_number.values())
 
-    def _list_newest_last_priority(
-        self, customer: str
-    ) -> Iterator[QueuedRequest]:
-        for line in reversed(self._lines.values()):
-            held = line.get(customer)
-            if held:
-                yield held[-1]
+    def _iterate_newest(self, customer: str) -> Iterator[QueuedRequest]:
+        for queues in reversed(self._queues.values()):
+            queued = queues.get(customer)
+            if queued:
+                yield queued[-1]
 
 
-def _count_in_turn(line: _Line, customer: str) -> int:
-    own = len(line.get(customer, ()))
+def _count_ahead_in_class(queues: _CustomerQueues, customer: str) -> int:
+    own = len(queues.get(customer, ()))
     turns = own + 1
     others = sum(
-        min(len(held), turns) for name, held in line.items() if name != customer
+        min(len(queued), turns)
+        for name, queued in queues.items()
+        if name != customer
     )
     return own + others
--- a/crocusshunt/delivery/tests/test_headers.py
+++ b/crocusshunt/delivery/tests/test_headers.py
@@ -1,4 +1,4 @@
-"""No key and no forged header reaches a backend server."""
+"""Tests that no API key and no forged header reaches a backend server."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -14,7 +14,9 @@
 
 _KEY = 'ck_court_0123456789'
 _ADDED = ((CUSTOMER_HEADER, 'court'),)
-_FIXED = settings(derandomize=True, max_examples=200, deadline=None)
+_HYPOTHESIS_SETTINGS = settings(
+    derandomize=True, max_examples=200, deadline=None
+)
 
 
 def _mix_case(name: str) -> st.SearchStrategy[str]:
@@ -23,7 +25,7 @@
     ).map(''.join)
 
 
-_CARRIERS = st.one_of(
+_KEY_AND_FORGED_HEADERS = st.one_of(
     st.tuples(_mix_case('x-api-key'), st.just(_KEY)),
     st.tuples(_mix_case('x_api_key'), st.just(_KEY)),
     st.tuples(
@@ -50,23 +52,23 @@
 )
 
 
-@_FIXED
-@given(st.lists(_CARRIERS, max_size=6))
+@_HYPOTHESIS_SETTINGS
+@given(st.lists(_KEY_AND_FORGED_HEADERS, max_size=6))
 def test_no_key_or_forged_header_passes(
-    carriers: list[tuple[str, str]],
+    sent_headers: list[tuple[str, str]],
 ) -> None:
-    sent = CIMultiDict([('Host', 'h'), *carriers, ('X-Api-Key', _KEY)])
+    sent = CIMultiDict([('Host', 'h'), *sent_headers, ('X-Api-Key', _KEY)])
     keys = find_keys(sent, '')
     prepared = prepare_request_headers(sent, _ADDED, keys)
-    shown = str(list(prepared.items())).lower()
-    assert _KEY not in shown
-    assert 'ck%5f' not in shown
-    assert 'forged' not in shown
+    serialized = str(list(prepared.items())).lower()
+    assert _KEY not in serialized
+    assert 'ck%5f' not in serialized
+    assert 'forged' not in serialized
     assert prepared.getall(CUSTOMER_HEADER) == ['court']
     assert prepared['host'] == 'h'
 
 
-@_FIXED
+@_HYPOTHESIS_SETTINGS
 @given(
     st.lists(
         st.one_of(
@@ -85,9 +87,9 @@
     assert find_keys(CIMultiDict(), query) == sent
 
 
-@_FIXED
+@_HYPOTHESIS_SETTINGS
 @given(st.text(alphabet=r'/.%25efEF;\a~', max_size=24))
-def test_accepted_paths_are_stable_and_plain(raw: str) -> None:
+def test_accepted_paths_are_normalized_and_unambiguous(raw: str) -> None:
     accepted = normalize_path(raw)
     if accepted.is_err():
         return
--- a/crocusshunt/delivery/tests/test_queue.py
+++ b/crocusshunt/delivery/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Order, bounds and fairness of the queue."""
+"""Tests of order, bounds and fairness of the queue."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -16,7 +16,7 @@
 _SETTINGS = QueueSettings(capacity=8, aging_s=2, aged_turn=4)
 
 
-def _wait(
+def _build_request(
     number: int,
     customer: str = 'court',
     priority: Priority = Priority.normal,
@@ -27,7 +27,7 @@
     )
 
 
-def _drain(queue: RequestQueue, now: float = 0) -> list[int]:
+def _take_all(queue: RequestQueue, now: float = 0) -> list[int]:
     return [
         taken.number for _ in range(len(queue)) if (taken := queue.take(now))
     ]
@@ -35,57 +35,59 @@
 
 def test_urgent_goes_first_and_customers_take_turns() -> None:
     queue = RequestQueue(_SETTINGS)
-    queue.offer(_wait(1, priority=Priority.deferrable), 0)
+    queue.offer(_build_request(1, priority=Priority.deferrable), 0)
     for number in (2, 3, 4):
-        queue.offer(_wait(number, 'flood'), 0)
-    queue.offer(_wait(5, 'small'), 0)
-    queue.offer(_wait(6, priority=Priority.urgent), 0)
-    assert _drain(queue) == [6, 2, 5, 3, 4, 1]
+        queue.offer(_build_request(number, 'flood'), 0)
+    queue.offer(_build_request(5, 'small'), 0)
+    queue.offer(_build_request(6, priority=Priority.urgent), 0)
+    assert _take_all(queue) == [6, 2, 5, 3, 4, 1]
 
 
 def test_deferrable_does_not_starve_under_urgent_load() -> None:
     queue = RequestQueue(_SETTINGS)
-    queue.offer(_wait(0, priority=Priority.deferrable), 0)
+    queue.offer(_build_request(0, priority=Priority.deferrable), 0)
     taken = []
     for number in range(1, 40):
         now = number / 4
-        urgent = _wait(number, priority=Priority.urgent, arrived_at=now)
+        urgent = _build_request(
+            number, priority=Priority.urgent, arrived_at=now
+        )
         queue.offer(urgent, 0)
-        got = queue.take(now)
-        assert got is not None
-        taken.append(got.number)
+        request = queue.take(now)
+        assert request is not None
+        taken.append(request.number)
     assert 0 in taken
     assert taken.index(0) < 13
 
 
-def test_flood_gives_way_to_a_small_customer() -> None:
+def test_small_customer_displaces_request_of_largest_customer() -> None:
     queue = RequestQueue(_SETTINGS)
     for number in range(8):
-        queue.offer(_wait(number, 'flood'), 0)
-    displaced = queue.offer(_wait(8, 'small'), 0).unwrap()
+        queue.offer(_build_request(number, 'flood'), 0)
+    displaced = queue.offer(_build_request(8, 'small'), 0).unwrap()
     assert displaced is not None
     assert displaced.number == 7
-    refused = queue.offer(_wait(9, 'flood'), 0).unwrap_err()
+    refused = queue.offer(_build_request(9, 'flood'), 0).unwrap_err()
     assert isinstance(refused, QueueFullError)
 
 
-def test_refused_early_where_the_deadline_cannot_be_met() -> None:
+def test_request_is_refused_early_if_its_deadline_cannot_be_met() -> None:
     queue = RequestQueue(_SETTINGS)
     for number in range(4):
-        queue.offer(_wait(number), 0)
-    refused = queue.offer(_wait(4), turn_s=3).unwrap_err()
+        queue.offer(_build_request(number), 0)
+    refused = queue.offer(_build_request(4), take_interval_s=3).unwrap_err()
     assert refused == DeadlineUnreachableError(12)
-    # Another customer's turn comes second, an urgent request's first.
-    assert queue.offer(_wait(5, 'small'), turn_s=3).is_ok()
-    urgent = _wait(6, priority=Priority.urgent)
-    assert queue.offer(urgent, turn_s=11).is_ok()
+    # Another customer's request would be second, an urgent one first.
+    assert queue.offer(_build_request(5, 'small'), take_interval_s=3).is_ok()
+    urgent = _build_request(6, priority=Priority.urgent)
+    assert queue.offer(urgent, take_interval_s=11).is_ok()
 
 
-class _Machine(RuleBasedStateMachine):
+class _QueueMachine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
         self.queue = RequestQueue(_SETTINGS)
-        self.held: dict[int, QueuedRequest] = {}
+        self.queued: dict[int, QueuedRequest] = {}
         self.number = 0
         self.now = float(0)
 
@@ -95,38 +97,38 @@
     )
     def offer(self, customer: str, priority: Priority) -> None:
         self.number += 1
-        waiting = _wait(self.number, customer, priority, self.now)
-        offered = self.queue.offer(waiting, 0)
+        request = _build_request(self.number, customer, priority, self.now)
+        offered = self.queue.offer(request, 0)
         if offered.is_ok():
-            self.held[self.number] = waiting
+            self.queued[self.number] = request
             displaced = offered.unwrap()
             if displaced is not None:
-                assert self.held.pop(displaced.number) == displaced
+                assert self.queued.pop(displaced.number) == displaced
 
     @rule(step=st.floats(0, 3))
     def take(self, step: float) -> None:
         self.now += step
         taken = self.queue.take(self.now)
         if taken is None:
-            assert not self.held
+            assert not self.queued
         else:
-            assert self.held.pop(taken.number) == taken
+            assert self.queued.pop(taken.number) == taken
 
     @rule(drawn=st.data())
     def remove(self, drawn: st.DataObject) -> None:
-        if self.held:
-            number = drawn.draw(st.sampled_from(sorted(self.held)))
-            waiting = self.held.pop(number)
-            assert self.queue.remove(waiting)
-            assert not self.queue.remove(waiting)
+        if self.queued:
+            number = drawn.draw(st.sampled_from(sorted(self.queued)))
+            request = self.queued.pop(number)
+            assert self.queue.remove(request)
+            assert not self.queue.remove(request)
 
     @invariant()
-    def nothing_vanishes(self) -> None:
-        assert len(self.queue) == len(self.held)
-        assert len(self.held) <= _SETTINGS.capacity
+    def no_request_is_lost(self) -> None:
+        assert len(self.queue) == len(self.queued)
+        assert len(self.queued) <= _SETTINGS.capacity
 
 
-TestQueueMachine = _Machine.TestCase
+TestQueueMachine = _QueueMachine.TestCase
 TestQueueMachine.settings = settings(
     derandomize=True, max_examples=60, stateful_step_count=30, deadline=None
 )
--- a/crocusshunt/delivery/tests/test_room.py
+++ b/crocusshunt/delivery/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Ejection, slow start, limits and budgets."""
+"""Tests of ejection, slow start, in-flight limits and server selection."""
 
 import random
 from dataclasses import replace
@@ -28,7 +28,7 @@
     st.integers(1, 5),
     st.lists(st.tuples(st.integers(0, 4), st.floats(0, 5), st.booleans())),
 )
-def test_pool_never_empties_itself(
+def test_ejection_leaves_at_least_half_of_the_pool(
     size: int, events: list[tuple[int, float, bool]]
 ) -> None:
     pool = _POOL[:size]
@@ -46,7 +46,7 @@
         assert all(0 < detector.compute_share(one, now) <= 1 for one in pool)
 
 
-def test_ejected_server_comes_back_slowly() -> None:
+def test_ejected_server_returns_with_slow_start() -> None:
     detector = OutlierDetector(_SETTINGS)
     for _ in range(_SETTINGS.failures):
         detector.note_failure(_POOL[0], 0)
@@ -61,7 +61,7 @@
     assert _POOL[0] not in detector.select_available(_POOL, 11.9)
 
 
-def test_shed_lowers_the_limit_and_answers_raise_it() -> None:
+def test_overload_lowers_the_limit_and_responses_raise_it() -> None:
     loads = ServerLoads()
     server = _POOL[0]
     for _ in range(20):
@@ -71,11 +71,11 @@
     for _ in range(20):
         loads.note_answer(server)
     assert loads.has_room(server)
-    assert loads.measure(server) == 1 / server.slots
+    assert loads.find_utilization(server) == 1 / server.slots
 
 
-def test_no_choice_takes_a_full_draining_or_weightless_server() -> None:
-    source = random.Random(1)
+def test_no_policy_selects_a_full_draining_or_weightless_server() -> None:
+    rng = random.Random(1)
     for name in list_selection_policies():
         loads = ServerLoads()
         pool = (
@@ -85,8 +85,8 @@
         )
         for _ in range(_POOL[0].slots):
             chosen = choose_server(
-                pool, loads, source, choose=find_selection_policy(name)
+                pool, loads, rng, choose=find_selection_policy(name)
             )
             assert chosen == _POOL[0]
             loads.acquire(_POOL[0])
-        assert choose_server(pool, loads, source) is None
+        assert choose_server(pool, loads, rng) is None
