--- a/crocusshunt/upstream/_connection.py
+++ b/crocusshunt/upstream/_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server, one exchange at a time."""
+"""HTTP/1.1 connection to a backend server, one exchange at a time."""
 
 import asyncio
 from typing import Any
@@ -11,82 +11,93 @@
     UpstreamAnswer,
     UpstreamRequest,
 )
-from crocusshunt.upstream._wire import Wire
+from crocusshunt.upstream._protocol import StreamProtocol
 
 _MAX_HEAD_BYTES = 65_536
-# Servers end idle connections by timers of their own; a request sent just
-# then would be lost.
+# Servers close idle connections after a timeout of their own; a request sent
+# at that moment would be lost.
 _IDLE_MARGIN_S = 1
-_IDLE_WITHOUT_HINT_S = 0.5
-_END = (h11.EndOfMessage, h11.ConnectionClosed)
+_DEFAULT_IDLE_LIMIT_S = 0.5
+_END_EVENTS = (h11.EndOfMessage, h11.ConnectionClosed)
 
 
 class Connection:
-    """Sends requests and reads the answers that belong to them.
+    """Sends requests and reads the responses that belong to them.
 
-    An answer that echoes another request's id is passed over: a server may
-    send a second answer where the next one is due.
+    A response that echoes another request's id is skipped: a server may send
+    a duplicate response in place of the next one.
+
+    ``idle_limit_s`` is the time in seconds for which the connection may be
+    idle and still be reused; ``idle_s`` is the time for which it was idle
+    before its current use, 0 for a new connection.
     """
 
-    def __init__(self, wire: Wire, echo: EchoPolicy) -> None:
-        """Use an open connection."""
-        self._wire = wire
-        self._echo = echo
-        self._http = _create_parser()
-        self._is_kept = True
-        self.idle_limit_s = _IDLE_WITHOUT_HINT_S
+    def __init__(
+        self, protocol: StreamProtocol, echo_policy: EchoPolicy
+    ) -> None:
+        """Wrap the protocol of an open connection."""
+        self._protocol = protocol
+        self._echo_policy = echo_policy
+        self._parser = _create_parser()
+        self._is_persistent = True
+        self.idle_limit_s = _DEFAULT_IDLE_LIMIT_S
         self.idle_s: float = 0
 
     @property
     def is_reusable(self) -> bool:
-        """Tell whether another request may be sent."""
-        wire = self._wire
-        return self._is_kept and wire.is_open and not wire.is_tainted
+        """Tell whether another request may be sent on this connection."""
+        protocol = self._protocol
+        return (
+            self._is_persistent
+            and protocol.is_open
+            and not protocol.has_unexpected_bytes
+        )
 
     async def exchange(self, request: UpstreamRequest) -> UpstreamAnswer:
-        """Send a request and return its whole answer.
+        """Send a request and return the complete response.
 
-        The connection is closed unless the exchange ends well, also when
-        the caller cancels it.
+        The connection is closed if the exchange fails or is cancelled.
 
-        :raises AnswerBrokenError: no whole answer came.
+        :raises AnswerBrokenError: no complete response came.
+        :raises NotConnectedError: the request is not valid HTTP; nothing was
+            sent.
         """
-        self._wire.is_idle = False
-        is_whole = False
+        self._protocol.is_idle = False
+        is_complete = False
         try:
-            answer = await self._exchange(request)
-            is_whole = True
+            response = await self._exchange(request)
+            is_complete = True
         except (h11.RemoteProtocolError, OSError) as error:
             detail = f'{type(error).__name__}: {error}'
             raise AnswerBrokenError(detail) from error
         finally:
-            if not is_whole:
+            if not is_complete:
                 self.close()
-        self._finish(answer)
-        return answer
+        self._finish(response)
+        return response
 
     def close(self) -> None:
-        """Close at once."""
-        self._is_kept = False
-        self._wire.abort()
+        """Close at once, without waiting for queued bytes."""
+        self._is_persistent = False
+        self._protocol.abort()
 
     async def _exchange(self, request: UpstreamRequest) -> UpstreamAnswer:
         try:
-            encoded = _send(self._http, request)
+            encoded = _encode_request(self._parser, request)
         except h11.LocalProtocolError as error:
             raise NotConnectedError(f'invalid request: {error}') from error
-        self._wire.write(encoded)
-        answer = await self._read_answer()
-        while not self._belongs(answer, request):
-            self._is_kept = False
-            self._skip_foreign(request)
-            answer = await self._read_answer()
-        return answer
-
-    async def _read_answer(self) -> UpstreamAnswer:
+        self._protocol.write(encoded)
+        response = await self._read_response()
+        while not self._is_response_to(response, request):
+            self._is_persistent = False
+            self._skip_mismatched_response(request)
+            response = await self._read_response()
+        return response
+
+    async def _read_response(self) -> UpstreamAnswer:
         head = await self._next_event()
         while not isinstance(head, h11.Response):
-            if isinstance(head, _END):
+            if isinstance(head, _END_EVENTS):
                 raise AnswerBrokenError('closed')
             head = await self._next_event()
         body = bytearray()
@@ -95,7 +106,9 @@
             body += event.data
             event = await self._next_event()
         if not isinstance(event, h11.EndOfMessage):
-            raise AnswerBrokenError('closed within the answer')
+            raise AnswerBrokenError(
+                'connection closed before the end of the response'
+            )
         headers = tuple(
             (bytes(name), bytes(text)) for name, text in head.headers
         )
@@ -107,98 +120,106 @@
         )
 
     async def _next_event(self) -> Any:
-        event = self._http.next_event()
+        event = self._parser.next_event()
         while event is h11.NEED_DATA:
-            self._http.receive_data(await self._wire.read())
-            event = self._http.next_event()
+            self._parser.receive_data(await self._protocol.read())
+            event = self._parser.next_event()
         return event
 
-    def _belongs(
+    def _is_response_to(
         self,
-        answer: UpstreamAnswer,
+        response: UpstreamAnswer,
         request: UpstreamRequest,
     ) -> bool:
-        echo = self._echo
-        echoed = answer.find(echo.id_header)
+        echo_policy = self._echo_policy
+        echoed = response.find(echo_policy.id_header)
         if echoed is not None:
             return echoed == request.request_id
-        if answer.status in echo.exempt_statuses:
+        if response.status in echo_policy.exempt_statuses:
             return True
-        return answer.find(echo.exempt_header) is not None
-
-    def _skip_foreign(self, request: UpstreamRequest) -> None:
-        """Go on behind an answer that belongs to another request."""
-        if self._http.their_state is h11.MUST_CLOSE or not self._wire.is_open:
-            raise AnswerBrokenError('answer of another request')
-        rest, _is_closed = self._http.trailing_data
-        self._http = _create_parser()
-        _send(self._http, request)
-        if rest:
-            self._http.receive_data(rest)
-
-    def _finish(self, answer: UpstreamAnswer) -> None:
-        self._wire.is_idle = True
-        self._is_kept = self._is_kept and self._is_clean()
-        if not self._is_kept:
+        return response.find(echo_policy.exempt_header) is not None
+
+    def _skip_mismatched_response(self, request: UpstreamRequest) -> None:
+        """Prepare to read the response that follows a mismatched one.
+
+        The state machine of h11 ends with one response, so a new one starts
+        with the same request and the bytes that are left.
+        """
+        if (
+            self._parser.their_state is h11.MUST_CLOSE
+            or not self._protocol.is_open
+        ):
+            raise AnswerBrokenError('response to another request')
+        trailing, _is_closed = self._parser.trailing_data
+        self._parser = _create_parser()
+        _encode_request(self._parser, request)
+        if trailing:
+            self._parser.receive_data(trailing)
+
+    def _finish(self, response: UpstreamAnswer) -> None:
+        self._protocol.is_idle = True
+        self._is_persistent = self._is_persistent and self._is_clean()
+        if not self._is_persistent:
             self.close()
             return
-        self._http.start_next_cycle()
-        self.idle_limit_s = _find_idle_limit(answer)
+        self._parser.start_next_cycle()
+        self.idle_limit_s = _find_idle_limit(response)
 
     def _is_clean(self) -> bool:
-        rest, is_closed = self._http.trailing_data
-        is_quiet = not (rest or is_closed or self._wire.has_unread)
-        if not is_quiet or not self._wire.is_flushed:
+        trailing, is_closed = self._parser.trailing_data
+        is_quiet = not (trailing or is_closed or self._protocol.has_unread)
+        if not is_quiet or not self._protocol.is_flushed:
             return False
-        states = (self._http.our_state, self._http.their_state)
+        states = (self._parser.our_state, self._parser.their_state)
         return states == (h11.DONE, h11.DONE)
 
 
 async def open_connection(
     address: str,
-    echo: EchoPolicy,
+    echo_policy: EchoPolicy,
     timeout_s: float,
 ) -> Connection:
     """Open a connection.
 
     :param address: ``ip:port`` of the backend server.
+    :param timeout_s: longest wait for the connection, in seconds.
     :raises NotConnectedError: it could not be opened in time.
     """
     host, _separator, port = address.rpartition(':')
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
-            _transport, wire = await loop.create_connection(
-                Wire,
+            _transport, protocol = await loop.create_connection(
+                StreamProtocol,
                 host,
                 int(port),
             )
     except (OSError, TimeoutError) as error:
         raise NotConnectedError(type(error).__name__) from error
-    return Connection(wire, echo)
+    return Connection(protocol, echo_policy)
 
 
 def _create_parser() -> h11.Connection:
     return h11.Connection(h11.CLIENT, _MAX_HEAD_BYTES)
 
 
-def _send(http: h11.Connection, request: UpstreamRequest) -> bytes:
+def _encode_request(parser: h11.Connection, request: UpstreamRequest) -> bytes:
     head = h11.Request(
         method=request.method,
         target=request.target,
         headers=list(request.headers),
     )
-    parts = [http.send(head)]
+    parts = [parser.send(head)]
     if request.body:
-        parts.append(http.send(h11.Data(data=request.body)))
-    parts.append(http.send(h11.EndOfMessage()))
+        parts.append(parser.send(h11.Data(data=request.body)))
+    parts.append(parser.send(h11.EndOfMessage()))
     return b''.join(part for part in parts if part)
 
 
-def _find_idle_limit(answer: UpstreamAnswer) -> float:
-    hint = (answer.find(b'keep-alive') or b'').decode('latin-1')
+def _find_idle_limit(response: UpstreamAnswer) -> float:
+    hint = (response.find(b'keep-alive') or b'').decode('latin-1')
     for part in hint.split(','):
         name, _separator, text = part.strip().partition('=')
         if name.lower() == 'timeout' and text.isdecimal():
-            return max(_IDLE_WITHOUT_HINT_S, int(text) - _IDLE_MARGIN_S)
-    return _IDLE_WITHOUT_HINT_S
+            return max(_DEFAULT_IDLE_LIMIT_S, int(text) - _IDLE_MARGIN_S)
+    return _DEFAULT_IDLE_LIMIT_S
--- a/crocusshunt/upstream/_errors.py
+++ b/crocusshunt/upstream/_errors.py
@@ -9,7 +9,7 @@
 class UpstreamError(CrocusError):
     """An exchange with a backend server failed.
 
-    :param detail: what ended it.
+    :param detail: readable cause.
     """
 
     code = 'upstream-failed'
@@ -26,6 +26,6 @@
 
 @dataclass(unsafe_hash=True)
 class AnswerBrokenError(UpstreamError):
-    """No whole answer came, or none in HTTP; the request may have run."""
+    """No complete and valid HTTP response came; the request may have run."""
 
     code = 'answer-broken'
--- a/crocusshunt/upstream/_messages.py
+++ b/crocusshunt/upstream/_messages.py
@@ -1,4 +1,4 @@
-"""Requests to backend servers and their answers."""
+"""Requests to backend servers and their responses."""
 
 from dataclasses import dataclass
 
@@ -7,11 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EchoPolicy:
-    """How an answer shows which request it belongs to.
+    """How a response shows which request it belongs to.
 
-    :param id_header: header that repeats the request's id, in lower case.
-    :param exempt_header: an answer with this header needs no id.
-    :param exempt_statuses: answers of these statuses need no id.
+    :param id_header: header that echoes the request id, in lower case.
+    :param exempt_header: a response with this header needs no id; in lower
+        case.
+    :param exempt_statuses: responses with these statuses need no id.
     """
 
     id_header: bytes
@@ -21,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRequest:
-    """A request as it goes to a backend server.
+    """A request as it is sent to a backend server.
 
-    :param target: path and query, as they came.
-    :param headers: all headers, with the length of the body.
-    :param body: the whole body, None for a request without one.
+    :param target: path and query, as received from the caller.
+    :param headers: all headers, including Content-Length if there is a body.
+    :param body: the complete body, None for a request without one.
     """
 
     request_id: bytes
@@ -37,7 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamAnswer:
-    """A whole answer of a backend server."""
+    """A complete response of a backend server.
+
+    :param headers: names in lower case, and values.
+    """
 
     status: int
     reason: bytes
@@ -45,7 +49,10 @@
     body: bytes
 
     def find(self, name: bytes) -> bytes | None:
-        """Return the first header of a name in lower case, or None."""
+        """Return the value of the first header of a name, or None.
+
+        :param name: name in lower case.
+        """
         for found, text in self.headers:
             if found == name:
                 return text
--- a/crocusshunt/upstream/_wire.py
+++ b/crocusshunt/upstream/_protocol.py
@@ -1,4 +1,4 @@
-"""Bytes of one TCP connection."""
+"""Asyncio protocol that buffers the bytes of one TCP connection."""
 
 import asyncio
 import os
@@ -10,18 +10,19 @@
 _READ_AHEAD_BYTES = 262_144
 
 
-class Wire(asyncio.Protocol):
-    """Collects what a peer sends until it is read.
+class StreamProtocol(asyncio.Protocol):
+    """Buffers the bytes that a peer sends until they are read.
 
-    Bytes or an end that come while nobody waits for an answer make the
-    connection unusable.
+    ``is_idle`` is true between exchanges. Bytes that arrive then belong to no
+    request and set ``has_unexpected_bytes``; they, or the end of the peer's
+    bytes, make the connection unusable.
     """
 
     def __init__(self) -> None:
-        """Start before the connection is made."""
+        """Create a protocol whose connection is not yet made."""
         self.transport: asyncio.Transport | None = None
         self.is_idle = True
-        self.is_tainted = False
+        self.has_unexpected_bytes = False
         self._received = bytearray()
         self._is_ended = False
         self._error: Exception | None = None
@@ -35,40 +36,40 @@
         return not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and set timeouts on its socket."""
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info('socket')
         if sock is not None:
             watch_socket(sock)
 
     def data_received(self, received: bytes) -> None:
-        """Keep bytes for the reader."""
+        """Buffer bytes for the reader; pause reading if too many wait."""
         if self.is_idle:
-            self.is_tainted = True
+            self.has_unexpected_bytes = True
         self._received += received
         if len(self._received) > _READ_AHEAD_BYTES and self.transport:
             self.transport.pause_reading()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
-        """Note the end of the peer's bytes.
+        """Record the end of the peer's bytes.
 
-        The event loop also reports an end where bytes and a reset arrived
-        together; only the socket tells which of the two it was.
+        The event loop also reports an end of file if bytes and a reset arrive
+        together; only the error of the socket tells the two apart.
         """
         self._is_ended = True
         self._error = self._find_socket_error()
-        self._wake()
+        self._wake_reader()
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note the loss of the connection."""
+        """Record the loss of the connection."""
         self._error = self._error or error
         self._is_ended = True
-        self._wake()
+        self._wake_reader()
 
     async def read(self) -> bytes:
-        """Return the next bytes, none at the end.
+        """Return the next bytes, empty at the end of the peer's bytes.
 
         :raises ConnectionError: the connection was reset.
         """
@@ -87,7 +88,7 @@
         return received
 
     def write(self, content: bytes) -> None:
-        """Send bytes, or queue them while the peer does not read."""
+        """Send bytes, or queue them while the peer doesn't read."""
         assert self.transport is not None  # noqa: S101
         self.transport.write(content)
 
@@ -100,7 +101,7 @@
 
     @property
     def has_unread(self) -> bool:
-        """Tell whether bytes came that nobody has read."""
+        """Tell whether received bytes have not been read yet."""
         return bool(self._received)
 
     def abort(self) -> None:
@@ -117,6 +118,6 @@
         number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         return OSError(number, os.strerror(number)) if number else None
 
-    def _wake(self) -> None:
+    def _wake_reader(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
--- a/crocusshunt/upstream/tests/test_connection.py
+++ b/crocusshunt/upstream/tests/test_connection.py
@@ -1,4 +1,4 @@
-"""Exchanges with servers that answer oddly."""
+"""Tests of exchanges with servers that violate or stretch the protocol."""
 
 import asyncio
 import socket
@@ -23,16 +23,20 @@
 Answer = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def _request(name: str = 'r1', body: bytes | None = None) -> UpstreamRequest:
+def _build_request(
+    name: str = 'r1', body: bytes | None = None
+) -> UpstreamRequest:
     headers = [(b'Host', b'abay'), (b'X-Id', name.encode())]
     if body is not None:
         headers.append((b'Content-Length', str(len(body)).encode()))
     return UpstreamRequest(name.encode(), b'GET', b'/a?b', tuple(headers), body)
 
 
-def _answer(name: str, body: str = 'ok', rest: bytes = b'') -> bytes:
+def _encode_response(
+    name: str, body: str = 'ok', trailing: bytes = b''
+) -> bytes:
     head = f'HTTP/1.1 200 OK\r\nX-Id: {name}\r\nContent-Length: {len(body)}\r\n'
-    return b''.join((f'{head}\r\n{body}'.encode(), rest))
+    return b''.join((f'{head}\r\n{body}'.encode(), trailing))
 
 
 @asynccontextmanager
@@ -47,7 +51,7 @@
         server.close()
 
 
-def _reply(*contents: bytes) -> Answer:
+def _reply_with(*contents: bytes) -> Answer:
     async def answer(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -76,32 +80,36 @@
     return answer
 
 
-async def test_whole_answer_keeps_the_connection() -> None:
-    async with _serve(_reply(_answer('r1'), _answer('r2'))) as connection:
-        first = await connection.exchange(_request('r1'))
-        second = await connection.exchange(_request('r2'))
+async def test_complete_response_keeps_the_connection() -> None:
+    async with _serve(
+        _reply_with(_encode_response('r1'), _encode_response('r2'))
+    ) as connection:
+        first = await connection.exchange(_build_request('r1'))
+        second = await connection.exchange(_build_request('r2'))
         assert (first.body, second.find(b'x-id')) == (b'ok', b'r2')
         assert connection.is_reusable
 
 
-async def test_second_answer_is_skipped_where_the_next_is_due() -> None:
-    late = _answer('r1', 'again', rest=_answer('r2', 'mine'))
-    async with _serve(_reply(_answer('r1'), late)) as connection:
-        await connection.exchange(_request('r1'))
-        answer = await connection.exchange(_request('r2'))
+async def test_duplicate_response_in_place_of_the_next_is_skipped() -> None:
+    late = _encode_response(
+        'r1', 'again', trailing=_encode_response('r2', 'mine')
+    )
+    async with _serve(_reply_with(_encode_response('r1'), late)) as connection:
+        await connection.exchange(_build_request('r1'))
+        answer = await connection.exchange(_build_request('r2'))
         assert answer.body == b'mine'
         assert not connection.is_reusable
 
 
-async def test_second_answer_behind_the_first_ends_the_connection() -> None:
-    both = _answer('r1', rest=_answer('r1'))
-    async with _serve(_reply(both)) as connection:
-        await connection.exchange(_request('r1'))
+async def test_duplicate_response_after_the_first_ends_the_connection() -> None:
+    both = _encode_response('r1', trailing=_encode_response('r1'))
+    async with _serve(_reply_with(both)) as connection:
+        await connection.exchange(_build_request('r1'))
         await asyncio.sleep(0.05)
         assert not connection.is_reusable
 
 
-async def test_answer_without_length_ends_with_its_connection() -> None:
+async def test_response_without_length_ends_with_its_connection() -> None:
     content = b'HTTP/1.1 200 OK\r\nX-Id: r1\r\n\r\nwhole'
 
     async def answer(
@@ -113,7 +121,7 @@
         writer.close()
 
     async with _serve(answer) as connection:
-        assert (await connection.exchange(_request())).body == b'whole'
+        assert (await connection.exchange(_build_request())).body == b'whole'
 
 
 @pytest.mark.parametrize(
@@ -124,13 +132,13 @@
         b'HTTP/1.1 200 OK\r\nX-Id',
     ],
 )
-async def test_reset_answer_is_never_whole(content: bytes) -> None:
+async def test_reset_response_is_never_complete(content: bytes) -> None:
     async with _serve(_reset_after(content)) as connection:
         with pytest.raises(AnswerBrokenError):
-            await connection.exchange(_request())
+            await connection.exchange(_build_request())
 
 
-async def test_reset_that_arrives_with_the_data_is_never_whole() -> None:
+async def test_reset_that_arrives_with_the_data_is_never_complete() -> None:
     content = b'HTTP/1.1 200 OK\r\nX-Id: r1\r\n\r\npart'
 
     async def answer(
@@ -145,21 +153,21 @@
 
     async with _serve(answer) as connection:
         with pytest.raises(AnswerBrokenError):
-            await connection.exchange(_request())
+            await connection.exchange(_build_request())
 
 
-async def test_garbage_is_a_broken_answer() -> None:
-    async with _serve(_reply(b'garbage\r\n\r\n')) as connection:
+async def test_invalid_http_raises_answer_broken_error() -> None:
+    async with _serve(_reply_with(b'garbage\r\n\r\n')) as connection:
         with pytest.raises(AnswerBrokenError):
-            await connection.exchange(_request())
+            await connection.exchange(_build_request())
         assert not connection.is_reusable
 
 
 async def test_cancelled_exchange_closes_the_connection() -> None:
-    async with _serve(_reply(b'')) as connection:
+    async with _serve(_reply_with(b'')) as connection:
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.05):
-                await connection.exchange(_request())
+                await connection.exchange(_build_request())
         assert not connection.is_reusable
 
 
--- a/crocusshunt/upstream/tests/test_pool.py
+++ b/crocusshunt/upstream/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Kept connections before requests that must not be sent twice."""
+"""Tests of the reuse of idle connections by requests sent at most once."""
 
 from unittest.mock import Mock
 
@@ -8,24 +8,27 @@
 _SERVER = ('s1', '10.0.0.1:80')
 
 
-def _keep_one(clock: ManualClock) -> ConnectionPool:
-    echo = EchoPolicy(b'id', b'not-run', frozenset())
-    pool = ConnectionPool(PoolSettings(), echo, clock)
+def _create_pool_with_idle_connection(clock: ManualClock) -> ConnectionPool:
+    echo_policy = EchoPolicy(b'id', b'not-run', frozenset())
+    pool = ConnectionPool(PoolSettings(), echo_policy, clock)
     pool.give_back(*_SERVER, Mock(is_reusable=True, idle_limit_s=5))
     return pool
 
 
 def test_request_that_may_be_repeated_uses_an_idle_connection() -> None:
     clock = ManualClock()
-    pool = _keep_one(clock)
+    pool = _create_pool_with_idle_connection(clock)
     clock.advance(3)
     assert pool.take(*_SERVER, is_repeatable=True) is not None
 
 
-def test_after_a_forgotten_connection_writes_use_only_fresher_ones() -> None:
-    """Else each such write would be reset, its outcome unknown."""
+def test_after_a_stale_connection_writes_use_only_shorter_idle_ones() -> None:
+    """Guards against writes that are reset on stale connections.
+
+    The outcome of such a write would be unknown.
+    """
     clock = ManualClock()
-    pool = _keep_one(clock)
+    pool = _create_pool_with_idle_connection(clock)
     clock.advance(0.4)
     used = pool.take(*_SERVER, is_repeatable=True)
     assert used is not None
@@ -40,9 +43,9 @@
     assert pool.take(*_SERVER, is_repeatable=True) is not None
 
 
-def test_caution_ends_after_a_while() -> None:
+def test_limit_of_reuse_ends_after_a_while() -> None:
     clock = ManualClock()
-    pool = _keep_one(clock)
+    pool = _create_pool_with_idle_connection(clock)
     clock.advance(0.4)
     used = pool.take(*_SERVER, is_repeatable=True)
     assert used is not None
@@ -53,11 +56,9 @@
     assert pool.take(*_SERVER, is_repeatable=False) is not None
 
 
-def test_break_at_work_or_on_a_new_connection_is_no_sign_of_forgetting() -> (
-    None
-):
+def test_late_failure_or_new_connection_is_not_stale() -> None:
     clock = ManualClock()
-    pool = _keep_one(clock)
+    pool = _create_pool_with_idle_connection(clock)
     clock.advance(0.4)
     used = pool.take(*_SERVER, is_repeatable=True)
     assert used is not None
@@ -67,6 +68,6 @@
 
 def test_connection_that_is_too_old_is_closed() -> None:
     clock = ManualClock()
-    pool = _keep_one(clock)
+    pool = _create_pool_with_idle_connection(clock)
     clock.advance(6)
     assert pool.take(*_SERVER, is_repeatable=True) is None
