--- a/crocusshunt/limits/__init__.py
+++ b/crocusshunt/limits/__init__.py
@@ -1,4 +1,11 @@
-"""Rate and burst of customers, counted over all hosts together."""
+"""Rate limits of customers, enforced over all hosts together.
+
+Each customer belongs to a shard, and each shard has a home, the host that is
+its first choice. The host that holds the shard's lease, normally the home,
+keeps the customer's token bucket and lends tokens to the gateways of all hosts
+for a short time. A lease is valid while a majority of its witnesses supports
+the holder.
+"""
 
 from crocusshunt.limits._drift import DRIFT_RATIO, add_drift, subtract_drift
 from crocusshunt.limits._lease import (
@@ -26,7 +33,7 @@
     BorrowSettings,
     Decision,
 )
-from crocusshunt.limits._tenancy import (
+from crocusshunt.limits._held_lease import (
     HeldLease,
     LeaseCandidate,
     build_release_row,
--- a/crocusshunt/limits/_drift.py
+++ b/crocusshunt/limits/_drift.py
@@ -1,11 +1,13 @@
-"""Durations that hold on clocks that run at different speeds."""
+"""Durations corrected for the drift between the clocks of two hosts."""
 
 # Twice the 500 ppm at which a disciplined clock may be slewed.
 DRIFT_RATIO = 0.001
 
 
 def subtract_drift(duration_s: float) -> float:
-    """Return a duration that is over on every clock when it is over here.
+    """Return a duration that ends here before the given one ends elsewhere.
+
+    It is shorter by the greatest drift.
 
     :param duration_s: seconds granted by another host.
 
@@ -16,7 +18,9 @@
 
 
 def add_drift(duration_s: float) -> float:
-    """Return a duration after which the given one is over on every clock.
+    """Return a duration that ends here after the given one ends elsewhere.
+
+    It is longer by the greatest drift.
 
     :param duration_s: seconds granted to another host.
 
--- a/crocusshunt/limits/_tenancy.py
+++ b/crocusshunt/limits/_held_lease.py
@@ -1,4 +1,4 @@
-"""Tenancies of the hosts that lend customers' tokens."""
+"""Life cycle of a shard's lease, as its holder sees it."""
 
 from dataclasses import dataclass, field
 
@@ -14,17 +14,18 @@
 )
 from crocusshunt.limits._ledger import LendingTerm
 
-_RENEWALS_A_LEASE = 4
+_RENEWALS_PER_LEASE = 4
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseCandidate:
-    """A process that may take a shard.
+    """A process that may acquire the lease of a shard.
 
     :param host: name of its host.
-    :param live: hosts that it believes to be there.
-    :param is_home: True if it is the first choice for the shard.
-    :param witnesses: whom it would choose.
+    :param incarnation: identifies the process.
+    :param live: hosts that it believes to be alive.
+    :param is_home: whether its host is the first choice for the shard.
+    :param witnesses: witnesses that it would use.
     """
 
     host: str
@@ -35,9 +36,12 @@
 
 
 def may_acquire(row: LeaseRow | None, candidate: LeaseCandidate) -> bool:
-    """Tell whether a candidate should take a shard over.
+    """Tell whether a candidate should acquire the lease of a shard.
 
-    :param row: the shard's row, None if there is none.
+    The shard's home acquires it if no live host holds it. A restarted process
+    acquires the lease of its predecessor on the same host.
+
+    :param row: the stored row of the shard, None if there is none.
     """
     if row is not None and row.holder == candidate.host:
         return row.incarnation != candidate.incarnation
@@ -48,9 +52,10 @@
 def build_takeover_row(
     row: LeaseRow | None, candidate: LeaseCandidate
 ) -> LeaseRow:
-    """Return the row with which a candidate takes a shard over.
+    """Return the row with which a candidate acquires a lease.
 
-    A released row has no holder to fence.
+    The witnesses of the previous holder are added to those to be fenced; a
+    released lease has no holder to fence.
     """
     epoch = 1 if row is None else row.epoch + 1
     unfenced = () if row is None else row.unfenced
@@ -70,8 +75,8 @@
 ) -> LeaseRow:
     """Return the row with which a holder changes its witnesses.
 
-    The old ones stay listed: the write may take effect while the holder,
-    without an answer, still relies on them.
+    The old ones are listed as unfenced: the write may take effect while the
+    holder, having got no response, still relies on them.
     """
     return LeaseRow(
         row.holder,
@@ -83,35 +88,48 @@
 
 
 def build_release_row(
-    tenancy: 'HeldLease', levels: tuple[TokenLevel, ...]
+    lease: 'HeldLease', levels: tuple[TokenLevel, ...]
 ) -> LeaseRow:
-    """Return the row of a holder that has stopped lending.
+    """Return the row with which a holder that stopped lending releases.
+
+    If its term never began, earlier holders remain to be fenced.
 
-    One that never began leaves the earlier holders to be fenced.
+    :param levels: tokens left in the buckets of the shard's customers.
     """
-    is_settled = tenancy.started_at is not None
-    unfenced = () if is_settled else tenancy.row.unfenced
+    is_started = lease.started_at is not None
+    unfenced = () if is_started else lease.row.unfenced
     return LeaseRow(
         '',
         '',
-        tenancy.row.epoch + 1,
+        lease.row.epoch + 1,
         (),
         unfenced,
         levels,
-        tenancy.row.holder,
+        lease.row.holder,
     )
 
 
 @dataclass(slots=True)
 class HeldLease:
-    """What the holder of a row may do, as far as it knows itself.
+    """State of a lease in the process that holds it.
+
+    The term, in which this process may lend, begins when all earlier holders
+    are certainly fenced. It lasts while the stored row is renewed and a
+    majority of the witnesses supports the holder. All times are monotonic, in
+    seconds.
 
-    :param version: version of the row in the table service.
-    :param acquired_at: monotonic time after the row was written, in seconds.
-    :param row_until: monotonic time to which the row was renewed.
+    :param version: version of the stored row.
+    :param acquired_at: time after the row was written.
+    :param row_until: time to which the row was renewed.
     :param supports: time to which each witness supports the holder.
-    :param cleared: time from which each witness of an earlier holder has no
-        support of that holder left.
+    :param cleared: time at which the support that each witness of an earlier
+        holder gave to that holder has ended.
+    :param started_at: time at which the term began, None before.
+    :param number: number of the term, the row's epoch at its beginning.
+    :param is_stale: whether a write failed, so that the stored row must be read
+        again.
+    :param is_releasing: whether the holder has stopped lending to release the
+        lease.
     """
 
     row: LeaseRow
@@ -126,7 +144,7 @@
     is_releasing: bool = False
 
     def add_support(self, witness: str, asked_at: float) -> None:
-        """Count support from before it was asked for."""
+        """Record support of a witness, counted from the time of the request."""
         until = asked_at + subtract_drift(SUPPORT_S)
         self.supports[witness] = max(until, self.supports.get(witness, until))
 
@@ -136,14 +154,19 @@
         received_at: float,
         wait_s: float,
     ) -> None:
-        """Note when a witness' earlier support will be over."""
+        """Record that a witness no longer supports an earlier holder.
+
+        :param received_at: time at which the witness' response arrived.
+        :param wait_s: seconds until its earlier support ends.
+        """
         self.cleared[witness] = received_at + add_drift(wait_s)
 
-    def is_clear(self, now: float) -> bool:
-        """Tell whether every earlier holder has certainly stopped.
+    def has_fenced_earlier_holders(self, now: float) -> bool:
+        """Tell whether every earlier holder has certainly stopped lending.
 
-        None can renew a row that has changed, so all have stopped when the
-        longest lease of a row is over.
+        An earlier holder has stopped when a majority of its witnesses no
+        longer supports it. No holder can renew a row that has changed, so all
+        have stopped one row lease after the row was acquired.
         """
         if now >= self.acquired_at + add_drift(ROW_LEASE_S):
             return True
@@ -153,34 +176,45 @@
         )
 
     def is_supported(self, until: float) -> bool:
-        """Tell whether this holder alone may lend up to a time."""
+        """Tell whether only this holder may lend until a time.
+
+        It may while its row is renewed and a majority of the witnesses
+        supports it.
+        """
         agreed = {host for host, at in self.supports.items() if at >= until}
         is_row_held = self.row_until >= until
         return is_row_held and has_majority(self.row.witnesses, agreed)
 
     def begin(self, now: float) -> bool:
-        """Start the tenure once it is certain; return whether it runs."""
-        if self.started_at is None and self.is_clear(now):
+        """Begin the term once earlier holders are fenced.
+
+        Return whether the term has begun.
+        """
+        if self.started_at is None and self.has_fenced_earlier_holders(now):
             self.started_at = now
             self.number = self.row.epoch
         return self.started_at is not None
 
     def is_renewal_due(self, now: float) -> bool:
-        """Tell whether the row should be written again."""
-        is_settled = self.started_at is not None
-        if is_settled and self.row.unfenced:
+        """Tell whether the row should be written again.
+
+        It is once the term has begun, to remove fenced holders, and each time
+        a quarter of the row lease has passed.
+        """
+        is_started = self.started_at is not None
+        if is_started and self.row.unfenced:
             return True
-        margin = ROW_LEASE_S - ROW_LEASE_S / _RENEWALS_A_LEASE
+        margin = ROW_LEASE_S - ROW_LEASE_S / _RENEWALS_PER_LEASE
         return self.row_until < now + margin
 
     def build_renewal_row(self) -> LeaseRow:
-        """Return the row to write, without fenced holders."""
+        """Return the row to write, without earlier holders once fenced."""
         if self.started_at is None:
             return self.row
         return msgspec.structs.replace(self.row, unfenced=())
 
     def find_term(self, until: float) -> LendingTerm | None:
-        """Return the tenure if it certainly lasts up to a time."""
+        """Return the term if it certainly lasts until a time, else None."""
         if self.started_at is None or self.is_releasing:
             return None
         if not self.is_supported(until):
--- a/crocusshunt/limits/_lease.py
+++ b/crocusshunt/limits/_lease.py
@@ -1,4 +1,4 @@
-"""Rows that say who lends customers' tokens."""
+"""Stored leases that say which host lends the tokens of a shard."""
 
 from hashlib import blake2b
 
@@ -14,22 +14,23 @@
 
 
 class TokenLevel(msgspec.Struct, frozen=True):
-    """Tokens that a home left for the next one."""
+    """Tokens of a customer that the lease's last holder left in the bucket."""
 
     customer: str
     tokens: float
 
 
 class LeaseRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Row of the table service that names a shard's holder.
+    """Stored row that names the holder of a shard's lease.
 
     :param holder: name of the holder's host, empty after a release.
     :param incarnation: identifies the holder's process.
-    :param epoch: higher with each change of holder or witnesses.
+    :param epoch: number that grows with each change of holder or witnesses.
     :param witnesses: hosts of which a majority must support the holder.
-    :param unfenced: witnesses of earlier holders that may still lend.
-    :param levels: tokens left by the holder that released.
-    :param released_by: host of that holder.
+    :param unfenced: for each earlier holder that may still be lending, its
+        witnesses.
+    :param levels: tokens left by the holder that released the lease.
+    :param released_by: host that released the lease.
     """
 
     holder: str
@@ -56,7 +57,10 @@
     shard: str,
     domains: dict[str, str],
 ) -> tuple[str, ...]:
-    """Return the witnesses of a shard, spread over failure domains.
+    """Return the witnesses of a shard, at most five.
+
+    Hosts are ranked by rendezvous hashing; the first of each failure domain
+    comes before all others.
 
     :param domains: failure domain of each live host.
 
@@ -64,12 +68,12 @@
     ('a2', 'b1', 'a1')
     """
     ranked = rank_by_rendezvous(shard, domains)
-    firsts: dict[str, str] = {}
-    for ranking in ranked:
-        firsts.setdefault(domains[ranking], ranking)
-    spread = tuple(firsts.values())
-    others = tuple(host for host in ranked if host not in spread)
-    return (spread + others)[:_WITNESS_COUNT]
+    first_by_domain: dict[str, str] = {}
+    for candidate in ranked:
+        first_by_domain.setdefault(domains[candidate], candidate)
+    spread_hosts = tuple(first_by_domain.values())
+    others = tuple(host for host in ranked if host not in spread_hosts)
+    return (spread_hosts + others)[:_WITNESS_COUNT]
 
 
 def has_majority(witnesses: tuple[str, ...], agreed: set[str]) -> bool:
@@ -82,12 +86,12 @@
 
 
 def encode_lease(row: LeaseRow) -> str:
-    """Return the text that the table service keeps."""
+    """Return the JSON text of a row, as it is stored."""
     return msgspec.json.encode(row).decode()
 
 
 def decode_lease(body: str) -> LeaseRow | None:
-    """Return the row of a text, None if it is damaged."""
+    """Return the row of a stored text, None if the text is invalid."""
     try:
         return msgspec.json.decode(body, type=LeaseRow)
     except msgspec.DecodeError:
--- a/crocusshunt/limits/_ledger.py
+++ b/crocusshunt/limits/_ledger.py
@@ -1,4 +1,4 @@
-"""Token buckets that a home host keeps and lends from."""
+"""Token buckets from which a home, a lending host, lends to gateways."""
 
 from dataclasses import dataclass, field
 
@@ -11,9 +11,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Settlement:
-    """End of a loan: its tokens are used, or returned and void.
+    """End of a loan, reported by the gateway that borrowed.
 
-    :param returned: tokens that were not used and never will be.
+    :param returned: unused tokens, which the gateway has discarded.
     """
 
     loan_id: str
@@ -24,9 +24,9 @@
 class LoanRequest:
     """A gateway's request for tokens.
 
-    :param loan_id: the same in every repetition of the request.
+    :param loan_id: identifies the loan; the same in each repetition.
     :param wanted: number of tokens.
-    :param settled: earlier loans that are over.
+    :param settled: earlier loans that have ended.
     """
 
     loan_id: str
@@ -36,11 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    """Tokens lent.
+    """Tokens lent to a gateway.
 
+    :param granted: number of tokens lent.
     :param lifetime_s: seconds from the sending of the request after which
-        the tokens are void.
-    :param retry_after_s: seconds until another token is there at the soonest.
+        the tokens expire.
+    :param retry_after_s: least time until the bucket has another token, in
+        seconds.
     :param remaining: whole tokens left in the bucket.
     """
 
@@ -53,9 +55,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LendingTerm:
-    """Time in which this process alone lends a customer's tokens.
+    """Period in which this process alone lends a customer's tokens.
 
-    :param number: higher for each later tenure.
+    :param number: epoch of the lease; grows with each later term.
     :param started_at: monotonic time here, in seconds.
     """
 
@@ -72,7 +74,7 @@
 
 @dataclass(slots=True)
 class _Account:
-    tenure: int
+    term: int
     level: float
     updated_at: float
     rate: float
@@ -80,22 +82,23 @@
 
 
 class HomeLedger:
-    """Buckets of the customers that this host lends for.
+    """Token buckets of the customers for which this host lends.
 
-    Tokens in the bucket and in open loans together never exceed the burst
-    and never grow faster than the rate, so what all gateways admit in any
-    interval stays within rate x time + burst. A tenure starts with an empty
-    bucket. An account that is absent has not lent in this tenure, or was full
-    when it was dropped: it has gained since the start of the tenure.
+    Tokens in a bucket and in its open loans together never exceed the burst
+    and never grow faster than the rate, so in any interval all gateways
+    together admit at most rate x interval + burst requests. A term starts with
+    an empty bucket. An account is absent if it has not lent in this term or
+    was dropped when its bucket was full; either way its level follows from
+    the time since the start of the term.
 
     >>> from crocusshunt.core import ManualClock
     >>> clock = ManualClock()
-    >>> ledger, tenure = HomeLedger(clock), LendingTerm(1, started_at=0)
+    >>> ledger, term = HomeLedger(clock), LendingTerm(1, started_at=0)
     >>> court = Customer('court', rate=10, burst=5)
-    >>> ledger.lend(court, LoanRequest('a', 1), tenure).granted
+    >>> ledger.lend(court, LoanRequest('a', 1), term).granted
     0
     >>> clock.advance(0.35)
-    >>> ledger.lend(court, LoanRequest('b', 9), tenure).granted
+    >>> ledger.lend(court, LoanRequest('b', 9), term).granted
     3
     """
 
@@ -108,21 +111,21 @@
         self,
         customer: Customer,
         request: LoanRequest,
-        tenure: LendingTerm,
+        term: LendingTerm,
     ) -> Loan:
         """Lend up to the wanted number of tokens.
 
-        A repeated request gets the loan that it already has.
+        A repeated request returns the loan already made.
 
-        :param tenure: tenure of this process, valid for longer than a loan.
+        :param term: term of this process, valid for longer than a loan.
         """
-        account = self._refresh(customer, tenure)
-        _settle(account, request.settled)
-        _cap(account, customer)
+        account = self._refresh(customer, term)
+        _apply_settlements(account, request.settled)
+        _cap_level(account, customer)
         repeated = account.loans.get(request.loan_id)
         if repeated is not None:
             return repeated.loan
-        loan = _draw(account, customer, request)
+        loan = _grant_loan(account, customer, request)
         if loan.granted:
             account.loans[request.loan_id] = _OpenLoan(
                 loan,
@@ -132,76 +135,81 @@
         return loan
 
     def restore_tokens(
-        self, customer: Customer, tokens: float, tenure: LendingTerm
+        self, customer: Customer, tokens: float, term: LendingTerm
     ) -> None:
-        """Start an account with the tokens that the home before left."""
+        """Start an account with the tokens that the previous home left."""
         account = _Account(
-            tenure.number,
+            term.number,
             min(tokens, customer.burst),
-            tenure.started_at,
+            term.started_at,
             customer.rate,
         )
         self._accounts[customer.name] = account
 
     def measure_transferable(
-        self, customer: Customer, tenure: LendingTerm
+        self, customer: Customer, term: LendingTerm
     ) -> float:
-        """Return the tokens left for the next home, none while any is lent."""
-        account = self._refresh(customer, tenure)
+        """Return the tokens that may pass to the next home.
+
+        They are 0 while the tokens of any loan are outstanding.
+        """
+        account = self._refresh(customer, term)
         if _count_outstanding(account):
             return 0
         return account.level
 
-    def drop_full(self, customer: Customer, tenure: LendingTerm) -> None:
-        """Forget an account that is as good as new."""
-        account = self._refresh(customer, tenure)
+    def drop_full(self, customer: Customer, term: LendingTerm) -> None:
+        """Drop an account whose bucket is full and which has no open loans."""
+        account = self._refresh(customer, term)
         if account.level >= customer.burst and not account.loans:
             self._accounts.pop(customer.name)
 
-    def _refresh(self, customer: Customer, tenure: LendingTerm) -> _Account:
+    def _refresh(self, customer: Customer, term: LendingTerm) -> _Account:
         now = self._clock.monotonic()
         account = self._accounts.get(customer.name)
-        if account is None or account.tenure != tenure.number:
+        if account is None or account.term != term.number:
             account = _Account(
-                tenure.number,
+                term.number,
                 0,
-                tenure.started_at,
+                term.started_at,
                 customer.rate,
             )
             self._accounts[customer.name] = account
-        # A changed rate counts from now on; the lower one counts until now.
+        # A changed rate applies from now on; the lower rate applies until now.
         rate = min(customer.rate, account.rate)
         account.rate = customer.rate
         account.level += subtract_drift(now - account.updated_at) * rate
         account.updated_at = now
-        # What is settled in time is gone from the loans already.
+        # Loans not settled in time expire; their tokens count as used.
         account.loans = {
-            loan_id: lent
-            for loan_id, lent in account.loans.items()
-            if lent.expires_at > now
+            loan_id: open_loan
+            for loan_id, open_loan in account.loans.items()
+            if open_loan.expires_at > now
         }
-        _cap(account, customer)
+        _cap_level(account, customer)
         return account
 
 
-def _settle(account: _Account, settled: tuple[Settlement, ...]) -> None:
+def _apply_settlements(
+    account: _Account, settled: tuple[Settlement, ...]
+) -> None:
     for settlement in settled:
-        lent = account.loans.get(settlement.loan_id)
-        if lent is not None and lent.outstanding:
-            account.level += min(settlement.returned, lent.outstanding)
-            lent.outstanding = 0
+        open_loan = account.loans.get(settlement.loan_id)
+        if open_loan is not None and open_loan.outstanding:
+            account.level += min(settlement.returned, open_loan.outstanding)
+            open_loan.outstanding = 0
 
 
-def _cap(account: _Account, customer: Customer) -> None:
+def _cap_level(account: _Account, customer: Customer) -> None:
     room = customer.burst - _count_outstanding(account)
     account.level = min(account.level, max(0, room))
 
 
 def _count_outstanding(account: _Account) -> int:
-    return sum(lent.outstanding for lent in account.loans.values())
+    return sum(open_loan.outstanding for open_loan in account.loans.values())
 
 
-def _draw(
+def _grant_loan(
     account: _Account,
     customer: Customer,
     request: LoanRequest,
--- a/crocusshunt/limits/_token_cache.py
+++ b/crocusshunt/limits/_token_cache.py
@@ -1,4 +1,4 @@
-"""Borrowed tokens that a gateway holds."""
+"""Tokens that a gateway has borrowed and not yet used."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 
 class TokenCache:
-    """Unexpired borrowed tokens of one customer.
+    """Borrowed tokens of one customer, in batches that expire.
 
     >>> token_cache = TokenCache()
     >>> token_cache.put(Loan('a', 1, 0.5, 0, 0), asked_at=0)
@@ -30,7 +30,7 @@
         self._settled_until: dict[str, float] = {}
 
     def put(self, loan: Loan, asked_at: float) -> None:
-        """Add a loan; one that was seen before changes nothing.
+        """Add a loan; a duplicate of an earlier loan is ignored.
 
         :param asked_at: monotonic time before the request was sent, in
             seconds.
@@ -65,9 +65,13 @@
         )
 
     def settle(self, now: float, keep: int = 0) -> tuple[Settlement, ...]:
-        """Give up loans and return what to tell the home, once each.
+        """Close loans and return their settlements for the home, once each.
 
-        :param keep: batches are kept while they hold fewer tokens in all.
+        All used up or expired loans are closed, and those in excess of what
+        is to be kept.
+
+        :param keep: loans are kept as long as the loans kept before hold
+            fewer tokens than this in total.
         """
         self._settled_until = {
             loan_id: until
@@ -86,6 +90,6 @@
 
     def _close(self, batch: _Batch, now: float) -> Settlement:
         self._batches.pop(batch.loan_id)
-        # A late duplicate of the loan may still come until it is void.
+        # A late duplicate of the loan may still arrive until the loan expires.
         self._settled_until[batch.loan_id] = max(batch.expires_at, now) + 1
         return Settlement(batch.loan_id, batch.tokens)
--- a/crocusshunt/limits/_witness.py
+++ b/crocusshunt/limits/_witness.py
@@ -1,4 +1,4 @@
-"""Witnesses of leases."""
+"""Witnesses, which support the holders of leases."""
 
 from dataclasses import dataclass
 
@@ -7,18 +7,20 @@
 
 
 @dataclass(slots=True)
-class _Memory:
+class _ShardState:
     epoch: int
     is_verified: bool = False
     supported_until: float = 0
 
 
 class Witness:
-    """Says which holder of each shard is supported, for a few seconds.
+    """Supports one lease holder of each shard, for a few seconds at a time.
 
-    It keeps nothing over a restart. A process that never heard of a shard
-    reads the shard's row before it supports a holder, and counts a whole
-    support from its start before it says that an earlier holder has none.
+    A witness never supports an epoch below the highest that it knows. It
+    stores nothing across a restart. So a new process first reads the shard's
+    row before it supports a holder, and assumes that its predecessor granted
+    support until just before the start: for one support duration after its
+    start it reports that earlier support is still valid.
 
     >>> witness = Witness(started_at=0)
     >>> witness.record_epoch('0001', epoch=3)
@@ -34,43 +36,47 @@
     """
 
     def __init__(self, started_at: float) -> None:
-        """Start without memory.
+        """Start without knowledge of any shard.
 
         :param started_at: monotonic time in seconds.
         """
         self._ready_at = started_at + add_drift(SUPPORT_S)
-        self._memories: dict[str, _Memory] = {}
+        self._shards: dict[str, _ShardState] = {}
 
     def is_row_needed(self, shard: str) -> bool:
-        """Tell whether the shard's row must be read first."""
-        memory = self._memories.get(shard)
-        return memory is None or not memory.is_verified
+        """Tell whether the shard's row must be read before any support."""
+        state = self._shards.get(shard)
+        return state is None or not state.is_verified
 
     def record_epoch(self, shard: str, epoch: int) -> None:
-        """Note the epoch of a row read after this process started."""
-        memory = self._memories.setdefault(shard, _Memory(epoch))
-        memory.epoch = max(memory.epoch, epoch)
-        memory.is_verified = True
+        """Record the epoch of a row read after this process started."""
+        state = self._shards.setdefault(shard, _ShardState(epoch))
+        state.epoch = max(state.epoch, epoch)
+        state.is_verified = True
 
     def support(self, shard: str, epoch: int, now: float) -> bool:
-        """Support a holder, unless a later one is known."""
-        memory = self._memories.get(shard)
-        if memory is None or not memory.is_verified:
+        """Support a holder, unless a later epoch is known.
+
+        Return whether the holder is supported. Support lasts for
+        ``SUPPORT_S`` seconds.
+        """
+        state = self._shards.get(shard)
+        if state is None or not state.is_verified:
             return False
-        if epoch < memory.epoch:
+        if epoch < state.epoch:
             return False
-        memory.epoch = epoch
-        memory.supported_until = now + add_drift(SUPPORT_S)
+        state.epoch = epoch
+        state.supported_until = now + add_drift(SUPPORT_S)
         return True
 
     def fence(self, shard: str, epoch: int, now: float) -> float | None:
-        """Never again support an earlier holder.
+        """Refuse support to all holders of earlier epochs from now on.
 
-        Return the seconds until all earlier support is over, None if a later
-        holder is known.
+        Return the seconds until all support already given to them has ended,
+        None if a later epoch is known.
         """
-        memory = self._memories.setdefault(shard, _Memory(epoch))
-        if memory.epoch > epoch:
+        state = self._shards.setdefault(shard, _ShardState(epoch))
+        if state.epoch > epoch:
             return None
-        memory.epoch = epoch
-        return max(0, memory.supported_until - now, self._ready_at - now)
+        state.epoch = epoch
+        return max(0, state.supported_until - now, self._ready_at - now)
--- a/crocusshunt/limits/tests/test_exactness.py
+++ b/crocusshunt/limits/tests/test_limit_bounds.py
@@ -1,4 +1,4 @@
-"""What is admitted stays within rate and burst, whatever happens."""
+"""Tests that admissions stay within rate and burst under any faults."""
 
 from dataclasses import dataclass, field
 
@@ -37,19 +37,19 @@
 
 @dataclass
 class _Host:
-    """Pure parts of one process."""
+    """State of one process, without its I/O."""
 
     clock: ManualClock
     incarnation: str
     witness: Witness
     ledger: HomeLedger
-    tenancy: HeldLease | None = None
+    lease: HeldLease | None = None
     token_cache: TokenCache = field(default_factory=TokenCache)
     settled: tuple[Settlement, ...] = ()
 
 
 @dataclass
-class _Mail:
+class _Message:
     """A message that may arrive late, twice or never."""
 
     kind: str
@@ -61,7 +61,11 @@
 
 
 class LendingMachine(RuleBasedStateMachine):
-    """Hosts that take over from each other at any moment."""
+    """Hosts that acquire the lease from each other at any moment.
+
+    Processes restart without memory, clocks drift, and messages are late,
+    duplicated or lost.
+    """
 
     def __init__(self) -> None:
         """Start three hosts without leases."""
@@ -70,7 +74,7 @@
         self.row: LeaseRow | None = None
         self.created = 0
         self.hosts: dict[str, _Host] = {}
-        self.mails: list[_Mail] = []
+        self.messages: list[_Message] = []
         self.admitted: list[float] = []
         for name in _NAMES:
             self.restart(name)
@@ -96,58 +100,60 @@
 
     @rule(name=_HOST)
     def acquire(self, name: str) -> None:
-        """Take the row, however wrongly."""
+        """Acquire the lease, even from a live holder."""
         host = self.hosts[name]
         live = frozenset(_NAMES)
         candidate = LeaseCandidate(name, host.incarnation, live, True, _NAMES)
         self.row = build_takeover_row(self.row, candidate)
         now = host.clock.monotonic()
-        host.tenancy = HeldLease(self.row, 0, now, now + ROW_LEASE_S)
+        host.lease = HeldLease(self.row, 0, now, now + ROW_LEASE_S)
 
     @rule(name=_HOST, witnesses=st.sets(_HOST, min_size=2))
     def gather(self, name: str, witnesses: set[str]) -> None:
-        """Ask witnesses and get their answers at once."""
+        """Ask witnesses and receive their answers at once."""
         for witness in sorted(witnesses):
             self.ask_witness(name, witness)
-            if self.hosts[name].tenancy is not None:
-                self._answer(self.mails.pop())
+            if self.hosts[name].lease is not None:
+                self._answer(self.messages.pop())
 
     @rule(name=_HOST, witness=_HOST)
     def ask_witness(self, name: str, witness: str) -> None:
-        """Ask for support once the tenure may begin, else for a fence."""
+        """Ask for support once the term has begun, else for a fence."""
         host = self.hosts[name]
-        if host.tenancy is None:
+        if host.lease is None:
             return
         now = host.clock.monotonic()
-        kind = 'support' if host.tenancy.begin(now) else 'fence'
-        epoch = host.tenancy.row.epoch
-        self.mails.append(_Mail(kind, witness, name, epoch, now))
+        kind = 'support' if host.lease.begin(now) else 'fence'
+        epoch = host.lease.row.epoch
+        self.messages.append(_Message(kind, witness, name, epoch, now))
 
-    @rule(position=st.integers(0, 5), is_kept=st.booleans())
-    def deliver(self, position: int, is_kept: bool) -> None:
+    @rule(position=st.integers(0, 5), is_duplicated=st.booleans())
+    def deliver(self, position: int, is_duplicated: bool) -> None:
         """Deliver a message, perhaps once more later."""
-        if position >= len(self.mails):
+        if position >= len(self.messages):
             return
-        mail = self.mails[position]
-        if not is_kept:
-            self.mails.pop(position)
-        if mail.loan is None:
-            self._answer(mail)
+        message = self.messages[position]
+        if not is_duplicated:
+            self.messages.pop(position)
+        if message.loan is None:
+            self._answer(message)
         else:
-            self.hosts[mail.target].token_cache.put(mail.loan, mail.sent_at)
+            self.hosts[message.target].token_cache.put(
+                message.loan, message.sent_at
+            )
 
     @rule(position=st.integers(0, 5))
     def lose(self, position: int) -> None:
         """Lose a message."""
-        if position < len(self.mails):
-            self.mails.pop(position)
+        if position < len(self.messages):
+            self.messages.pop(position)
 
     @rule(holder=_HOST, name=_HOST, wanted=st.integers(1, 8))
     def lend(self, holder: str, name: str, wanted: int) -> None:
-        """Let a gateway borrow from whoever believes to hold the lease."""
+        """Let a gateway borrow from a host that believes it holds the lease."""
         lender, borrower = self.hosts[holder], self.hosts[name]
-        tenure = self._find_tenure(lender)
-        if tenure is None:
+        term = self._find_term(lender)
+        if term is None:
             return
         asked_at = borrower.clock.monotonic()
         self.created += 1
@@ -156,8 +162,8 @@
             wanted,
             borrower.token_cache.settle(asked_at),
         )
-        loan = lender.ledger.lend(_CUSTOMER, request, tenure)
-        self.mails.append(_Mail('loan', name, holder, 0, asked_at, loan))
+        loan = lender.ledger.lend(_CUSTOMER, request, term)
+        self.messages.append(_Message('loan', name, holder, 0, asked_at, loan))
 
     @rule(name=_HOST, count=st.integers(1, 8))
     def admit(self, name: str, count: int) -> None:
@@ -168,40 +174,40 @@
                 self.admitted.append(self.now)
 
     @invariant()
-    def stays_within_rate_and_burst(self) -> None:
-        """Check every interval, and that one host at most lends."""
+    def check_rate_burst_and_single_lender(self) -> None:
+        """Check all intervals, and that at most one host lends."""
         assert not count_overshoot(_CUSTOMER, self.admitted)
         lenders = [
             host
             for host in self.hosts.values()
-            if self._find_tenure(host) is not None
+            if self._find_term(host) is not None
         ]
         assert len(lenders) <= 1
 
-    def _find_tenure(self, host: _Host) -> LendingTerm | None:
-        if host.tenancy is None:
+    def _find_term(self, host: _Host) -> LendingTerm | None:
+        if host.lease is None:
             return None
         until = host.clock.monotonic() + add_drift(LOAN_LIFETIME_S)
-        return host.tenancy.find_term(until)
+        return host.lease.find_term(until)
 
-    def _answer(self, mail: _Mail) -> None:
-        witness = self.hosts[mail.target].witness
-        asker = self.hosts[mail.sender]
-        now = self.hosts[mail.target].clock.monotonic()
+    def _answer(self, message: _Message) -> None:
+        witness = self.hosts[message.target].witness
+        asker = self.hosts[message.sender]
+        now = self.hosts[message.target].clock.monotonic()
         if witness.is_row_needed(_SHARD) and self.row is not None:
             witness.record_epoch(_SHARD, self.row.epoch)
-        tenancy = asker.tenancy
-        if tenancy is None or tenancy.row.epoch != mail.epoch:
-            tenancy = None
-        if mail.kind == 'support':
-            is_good = witness.support(_SHARD, mail.epoch, now)
-            if is_good and tenancy is not None:
-                tenancy.add_support(mail.target, mail.sent_at)
+        lease = asker.lease
+        if lease is None or lease.row.epoch != message.epoch:
+            lease = None
+        if message.kind == 'support':
+            is_good = witness.support(_SHARD, message.epoch, now)
+            if is_good and lease is not None:
+                lease.add_support(message.target, message.sent_at)
             return
-        wait_s = witness.fence(_SHARD, mail.epoch, now)
-        if wait_s is not None and tenancy is not None:
+        wait_s = witness.fence(_SHARD, message.epoch, now)
+        if wait_s is not None and lease is not None:
             received_at = asker.clock.monotonic()
-            tenancy.add_clearance(mail.target, received_at, wait_s)
+            lease.add_clearance(message.target, received_at, wait_s)
 
 
 LendingMachine.TestCase.settings = settings(
@@ -213,54 +219,54 @@
 TestLending = LendingMachine.TestCase
 
 
-def test_changed_rate_counts_from_the_change_on() -> None:
+def test_changed_rate_applies_from_the_change_on() -> None:
     clock = ManualClock()
     ledger = HomeLedger(clock)
-    tenure = LendingTerm(1, 0)
-    ledger.lend(_CUSTOMER, LoanRequest('a', 1), tenure)
+    term = LendingTerm(1, 0)
+    ledger.lend(_CUSTOMER, LoanRequest('a', 1), term)
     clock.advance(1)
     richer = Customer('cellar', rate=400, burst=600)
-    assert ledger.lend(richer, LoanRequest('b', 600), tenure).granted == 3
+    assert ledger.lend(richer, LoanRequest('b', 600), term).granted == 3
 
 
-def test_smaller_burst_waits_for_open_loans() -> None:
+def test_smaller_burst_counts_open_loans() -> None:
     clock = ManualClock(10)
     ledger = HomeLedger(clock)
-    tenure = LendingTerm(1, 0)
-    assert ledger.lend(_CUSTOMER, LoanRequest('a', 6), tenure).granted == 6
+    term = LendingTerm(1, 0)
+    assert ledger.lend(_CUSTOMER, LoanRequest('a', 6), term).granted == 6
     clock.advance(0.45)
     smaller = Customer('cellar', rate=4, burst=2)
-    assert not ledger.lend(smaller, LoanRequest('b', 2), tenure).granted
+    assert not ledger.lend(smaller, LoanRequest('b', 2), term).granted
 
 
 @pytest.mark.parametrize('repeats', [1, 2, 3])
-def test_settlement_counts_once(repeats: int) -> None:
+def test_repeated_settlement_counts_once(repeats: int) -> None:
     clock = ManualClock(10)
     ledger = HomeLedger(clock)
-    tenure = LendingTerm(1, 0)
-    ledger.lend(_CUSTOMER, LoanRequest('a', 6), tenure)
+    term = LendingTerm(1, 0)
+    ledger.lend(_CUSTOMER, LoanRequest('a', 6), term)
     settled = (Settlement('a', 2),) * repeats
-    loan = ledger.lend(_CUSTOMER, LoanRequest('b', 6, settled), tenure)
+    loan = ledger.lend(_CUSTOMER, LoanRequest('b', 6, settled), term)
     assert loan.granted == 2
 
 
 def test_open_loans_count_under_the_burst() -> None:
     clock = ManualClock(10)
     ledger = HomeLedger(clock)
-    tenure = LendingTerm(1, 0)
-    assert ledger.lend(_CUSTOMER, LoanRequest('a', 6), tenure).granted == 6
+    term = LendingTerm(1, 0)
+    assert ledger.lend(_CUSTOMER, LoanRequest('a', 6), term).granted == 6
     clock.advance(0.45)
-    assert not ledger.lend(_CUSTOMER, LoanRequest('b', 6), tenure).granted
+    assert not ledger.lend(_CUSTOMER, LoanRequest('b', 6), term).granted
 
 
-def test_tokens_are_void_after_the_loan() -> None:
+def test_tokens_expire_with_the_loan() -> None:
     token_cache = TokenCache()
     token_cache.put(Loan('a', 2, LOAN_LIFETIME_S, 0, 0), asked_at=1)
     assert token_cache.take(1.4)
     assert not token_cache.take(1 + LOAN_LIFETIME_S)
 
 
-def test_restarted_witness_waits_for_its_former_support() -> None:
+def test_restarted_witness_waits_until_earlier_support_expires() -> None:
     witness = Witness(started_at=100)
     wait_s = witness.fence(_SHARD, epoch=2, now=101)
     assert wait_s == pytest.approx(add_drift(SUPPORT_S) - 1)
