--- a/crocusshunt/routing/__init__.py
+++ b/crocusshunt/routing/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' tables, their checks, and the choice of a route."""
+"""Configuration tables of the operators, their checks, and route matching."""
 
 from crocusshunt.routing import _checks as checks
 from crocusshunt.routing._check_registry import (
--- a/crocusshunt/routing/_check_registry.py
+++ b/crocusshunt/routing/_check_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the checks that tables must pass before acceptance."""
+"""Registry of the checks that tables must pass to be accepted."""
 
 from collections.abc import Callable, Iterable, Iterator
 
@@ -14,44 +14,50 @@
 
 
 def register_check(function: Check) -> Check:
-    """Register a check; a decorator for functions of the tables.
+    """Decorator that registers a check of the tables.
 
-    :param function: yields the faults it finds.
+    :param function: takes the tables and yields the faults that it finds.
     """
     _CHECKS.append(function)
     return function
 
 
 def register_change_check(function: ChangeCheck) -> ChangeCheck:
-    """Register a check of a change; a decorator.
+    """Decorator that registers a check of a change of the tables.
 
-    :param function: takes the tables before and after, and yields faults.
+    :param function: takes the tables before and after the change, and yields
+        the faults that it finds.
     """
     _CHANGE_CHECKS.append(function)
     return function
 
 
 def find_change_faults(before: Tables, after: Tables) -> tuple[Fault, ...]:
-    """Return every fault of the result and of the way to it, sorted.
+    """Return every fault of a change and of the resulting tables, sorted.
+
+    :param before: the accepted tables.
+    :param after: the tables that the change would result in.
 
     >>> find_change_faults(Tables(), Tables())
     ()
     """
-    found = {fault for one in _CHANGE_CHECKS for fault in one(before, after)}
+    found = {
+        fault for check in _CHANGE_CHECKS for fault in check(before, after)
+    }
     return tuple(sorted(found.union(find_faults(after))))
 
 
 def find_faults(tables: Tables) -> tuple[Fault, ...]:
     """Return every fault that any registered check finds, sorted.
 
-    :param tables: the tables that would be accepted.
+    :param tables: the tables to check before they are accepted.
 
     >>> from crocusshunt.routing import Route
     >>> for fault in find_faults(Tables().put(Route('verify', 'missing'))):
     ...     print(fault)
     route verify: pool 'missing' does not exist (allowed: none yet)
     """
-    found = {fault for one in _CHECKS for fault in one(tables)}
+    found = {fault for check in _CHECKS for fault in check(tables)}
     return tuple(sorted(found))
 
 
@@ -59,7 +65,9 @@
     table: str,
     addresses: Iterable[tuple[str, str]],
 ) -> Iterator[Fault]:
-    """Yield a fault for each row whose address another row has.
+    """Yield a fault for each row that has the address of an earlier row.
+
+    :param table: name of the table.
 
     :param addresses: pairs of a row's name and its address.
 
@@ -67,9 +75,9 @@
     >>> [fault.place for fault in shared]
     ['server b']
     """
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for name, address in addresses:
-        holder = holders.setdefault(address, name)
-        if holder != name:
-            problem = f"address is also that of {table} '{holder}'"
+        owner = owners.setdefault(address, name)
+        if owner != name:
+            problem = f"address is also that of {table} '{owner}'"
             yield Fault(f'{table} {name}', problem)
--- a/crocusshunt/routing/_checks.py
+++ b/crocusshunt/routing/_checks.py
@@ -1,4 +1,4 @@
-"""Checks that a set of tables must pass before it is accepted."""
+"""Checks of routes, pools, servers, links and address blocks."""
 
 from collections.abc import Iterable, Iterator
 
@@ -22,7 +22,9 @@
 from crocusshunt.routing._tables import Tables
 
 
-def _missing(place: str, kind: str, name: str, known: Iterable[str]) -> Fault:
+def _describe_missing(
+    place: str, kind: str, name: str, known: Iterable[str]
+) -> Fault:
     allowed = ', '.join(sorted(known)) or 'none yet'
     return Fault(place, f"{kind} '{name}' does not exist", allowed)
 
@@ -32,7 +34,9 @@
     pools = {pool.name for pool in tables.select(Pool)}
     for route in tables.select(Route):
         if route.pool not in pools:
-            yield _missing(f'route {route.name}', 'pool', route.pool, pools)
+            yield _describe_missing(
+                f'route {route.name}', 'pool', route.pool, pools
+            )
 
 
 @register_check
@@ -42,7 +46,7 @@
         for name in route.customers:
             if name not in customers:
                 place = f'route {route.name}'
-                yield _missing(place, 'customer', name, customers)
+                yield _describe_missing(place, 'customer', name, customers)
 
 
 @register_check
@@ -50,7 +54,9 @@
     pools = {pool.name for pool in tables.select(Pool)}
     for server in tables.select(Server):
         if server.pool not in pools:
-            yield _missing(f'server {server.name}', 'pool', server.pool, pools)
+            yield _describe_missing(
+                f'server {server.name}', 'pool', server.pool, pools
+            )
 
 
 @register_check
@@ -60,7 +66,7 @@
         place = f'server {server.name}'
         if server.failure_domain not in domains:
             name = server.failure_domain
-            yield _missing(place, 'failure domain', name, domains)
+            yield _describe_missing(place, 'failure domain', name, domains)
         elif domains[server.failure_domain] != server.region:
             region = domains[server.failure_domain]
             yield Fault(place, 'failure domain is in another region', region)
@@ -79,11 +85,13 @@
     for link in tables.select(Link):
         for name in (link.source, link.target):
             if name not in regions:
-                yield _missing(f'link {link.name}', 'region', name, regions)
+                yield _describe_missing(
+                    f'link {link.name}', 'region', name, regions
+                )
     for block in tables.select(AddressBlock):
         if block.region not in regions:
             place = f'block {block.name}'
-            yield _missing(place, 'region', block.region, regions)
+            yield _describe_missing(place, 'region', block.region, regions)
 
 
 @register_check
@@ -91,13 +99,13 @@
     for route in tables.select(Route):
         for prefix in route.client_prefixes:
             if parse_network(prefix).is_err():
-                yield _bad_network(f'route {route.name}', prefix)
+                yield _describe_invalid_network(f'route {route.name}', prefix)
     for block in tables.select(AddressBlock):
         if parse_network(block.prefix).is_err():
-            yield _bad_network(f'block {block.name}', block.prefix)
+            yield _describe_invalid_network(f'block {block.name}', block.prefix)
 
 
-def _bad_network(place: str, prefix: str) -> Fault:
+def _describe_invalid_network(place: str, prefix: str) -> Fault:
     return Fault(place, f"'{prefix}' is no network", 'CIDR, no host bits set')
 
 
@@ -128,19 +136,20 @@
     routes = order_routes(tables.select(Route))
     for position, route in enumerate(routes):
         for earlier in routes[:position]:
-            if _covers(earlier, route):
+            if _matches_all_of(earlier, route):
                 place = f'route {route.name}'
                 problem = f"never matches: route '{earlier.name}' comes first"
                 yield Fault(place, problem, 'a lower order, or other matches')
                 break
 
 
-def _covers(earlier: Route, later: Route) -> bool:
+def _matches_all_of(earlier: Route, later: Route) -> bool:
     if not is_under(later.path_prefix, earlier.path_prefix):
         return False
     return all(
-        not wide or (narrow and set(narrow) <= set(wide))
-        for wide, narrow in (
+        not earlier_values
+        or (later_values and set(later_values) <= set(earlier_values))
+        for earlier_values, later_values in (
             (earlier.hosts, later.hosts),
             (earlier.methods, later.methods),
             (earlier.customers, later.customers),
--- a/crocusshunt/routing/_matching.py
+++ b/crocusshunt/routing/_matching.py
@@ -1,4 +1,4 @@
-"""Choice of the route for a request."""
+"""Matching of requests to routes."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -9,9 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAttributes:
-    """What a request shows that routes match on.
+    """Attributes of a request on which routes match.
 
+    :param host: value of the Host header, without port.
+    :param path: percent-decoded path.
     :param customer: customer of the key, empty without a valid key.
+    :param client: address of the caller.
     """
 
     host: str
@@ -22,7 +25,7 @@
 
 
 def order_routes(routes: Iterable[Route]) -> tuple[Route, ...]:
-    """Sort routes by precedence: order, then longest prefix, then name.
+    """Sort routes by precedence: lowest order, then longest prefix, then name.
 
     >>> wide, narrow = Route('a', 'p'), Route('b', 'p', path_prefix='/x/')
     >>> [route.name for route in order_routes((wide, narrow))]
@@ -41,22 +44,22 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PreparedRoute:
+class _ParsedRoute:
     route: Route
     networks: tuple[IPNetwork, ...]
 
-    def is_match(self, facts: RequestAttributes) -> bool:
+    def is_match(self, request: RequestAttributes) -> bool:
         route = self.route
-        if not is_under(facts.path, route.path_prefix):
+        if not is_under(request.path, route.path_prefix):
             return False
-        listed = (
-            _is_listed(facts.method, route.methods),
-            _is_listed(facts.host, route.hosts),
-            _is_listed(facts.customer, route.customers),
+        matches = (
+            _is_listed(request.method, route.methods),
+            _is_listed(request.host, route.hosts),
+            _is_listed(request.customer, route.customers),
         )
-        return all(listed) and self._has_client(facts.client)
+        return all(matches) and self._matches_client(request.client)
 
-    def _has_client(self, client: IPAddress) -> bool:
+    def _matches_client(self, client: IPAddress) -> bool:
         if not self.networks:
             return True
         return any(
@@ -66,36 +69,38 @@
 
 
 class RouteMatcher:
-    """Finds the first route, by precedence, that matches a request.
+    """Finds the matching route of highest precedence for a request.
 
     >>> from ipaddress import ip_address
     >>> matcher = RouteMatcher((Route('read', 'verify', path_prefix='/v/'),))
     >>> client = ip_address('10.0.0.1')
-    >>> facts = RequestAttributes('abay', '/v/1', 'GET', 'court', client)
-    >>> matcher.find(facts).name
+    >>> request = RequestAttributes('abay', '/v/1', 'GET', 'court', client)
+    >>> matcher.find(request).name
     'read'
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
-        """Prepare the networks of all routes.
+        """Sort the routes and parse their networks.
 
-        :param routes: checked routes in any order.
+        :param routes: routes that have passed the checks, in any order.
         """
-        self._routes = tuple(_prepare(route) for route in order_routes(routes))
+        self._routes = tuple(
+            _parse_networks(route) for route in order_routes(routes)
+        )
 
-    def find(self, facts: RequestAttributes) -> Route | None:
+    def find(self, request: RequestAttributes) -> Route | None:
         """Return the matching route of highest precedence, or None."""
-        for prepared in self._routes:
-            if prepared.is_match(facts):
-                return prepared.route
+        for parsed in self._routes:
+            if parsed.is_match(request):
+                return parsed.route
         return None
 
 
-def _prepare(route: Route) -> _PreparedRoute:
+def _parse_networks(route: Route) -> _ParsedRoute:
     networks = tuple(
         parse_network(prefix).unwrap() for prefix in route.client_prefixes
     )
-    return _PreparedRoute(route, networks)
+    return _ParsedRoute(route, networks)
 
 
 def _is_listed(text: str, allowed: tuple[str, ...]) -> bool:
@@ -103,7 +108,7 @@
 
 
 def is_under(path: str, prefix: str) -> bool:
-    """Tell whether a path lies under a prefix, in whole segments.
+    """Tell whether a path has a prefix that ends at a segment boundary.
 
     >>> is_under('/v/1', '/v'), is_under('/vx', '/v')
     (True, False)
--- a/crocusshunt/routing/_registry.py
+++ b/crocusshunt/routing/_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the tables that a configuration holds."""
+"""Registry of the tables that make up a configuration."""
 
 from collections.abc import Callable
 from typing import Protocol, TypeVar
@@ -9,7 +9,7 @@
 
     @property
     def name(self) -> str:
-        """Return the name, unique in its table."""
+        """Return the row's name, unique in its table."""
 
 
 _RowType = TypeVar('_RowType', bound=type[Row])
@@ -18,7 +18,7 @@
 
 
 def register_table(table: str) -> Callable[[_RowType], _RowType]:
-    """Return a decorator that makes a data class the row type of a table.
+    """Return a decorator that registers a data class as a table's row type.
 
     :param table: name of the table.
     """
@@ -32,20 +32,20 @@
 
 
 def is_table(table: str) -> bool:
-    """Tell whether a table of this name is known."""
+    """Tell whether a table of this name is registered."""
     return table in _ROW_TYPES
 
 
 def find_row_type(table: str) -> type[Row]:
     """Return the row type of a table.
 
-    :param table: name of a known table.
+    :param table: name of a registered table.
     """
     return _ROW_TYPES[table]
 
 
 def list_tables() -> tuple[str, ...]:
-    """Return the names of all tables, sorted."""
+    """Return the names of all registered tables, sorted."""
     return tuple(sorted(_ROW_TYPES))
 
 
--- a/crocusshunt/routing/_rows.py
+++ b/crocusshunt/routing/_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the operators' tables."""
+"""Row types of the operators' configuration tables."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -26,7 +26,7 @@
 
 
 class Priority(str, Enum):
-    """Order in which waiting requests get room, first to last."""
+    """Priority of waiting requests, from highest to lowest."""
 
     urgent = 'urgent'
     normal = 'normal'
@@ -34,9 +34,9 @@
 
 
 class RetryClass(str, Enum):
-    """Which failed attempts the gateway may repeat on another server.
+    """Which failed attempts the gateway may retry on another server.
 
-    ``never`` repeats none, ``not_run`` those that provably did not run,
+    ``never`` retries none, ``not_run`` those that certainly did not run,
     ``idempotent`` also those of unknown outcome.
     """
 
@@ -46,7 +46,7 @@
 
 
 class ServerState(str, Enum):
-    """Whether a backend server gets new work."""
+    """Whether a backend server gets new requests."""
 
     active = 'active'
     draining = 'draining'
@@ -55,14 +55,17 @@
 @register_table('route')
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Says which callers and requests go to which pool.
+    """Rule that sends matching requests to a pool.
 
-    Empty tuples match everything. Among the routes that match, the lowest
-    ``order`` wins, then the longest path prefix, then the name.
+    An empty tuple matches everything. Of several matching routes the one with
+    the lowest ``order`` is used, then with the longest path prefix, then with
+    the first name.
 
     :param hosts: values of the Host header, without port.
     :param methods: HTTP methods.
+    :param customers: customers whose requests match.
     :param client_prefixes: networks of callers, in CIDR notation.
+    :param idempotent: whether running a request twice is harmless.
     :param deadline_ms: longest time for one request, in milliseconds.
     """
 
@@ -95,8 +98,8 @@
     """A backend server of a pool.
 
     :param address: ``ip:port``.
-    :param slots: requests that it runs at once.
-    :param weight: share of new work relative to the pool's other servers.
+    :param slots: greatest number of requests that it runs at once.
+    :param weight: share of new requests, relative to the pool's other servers.
     """
 
     name: Name
@@ -112,10 +115,10 @@
 @register_table('customer')
 @dataclass(frozen=True, slots=True)
 class Customer:
-    """A customer's limits, counted over all hosts together.
+    """A customer's rate limit, enforced over all hosts together.
 
-    :param rate: requests a second.
-    :param burst: requests at once.
+    :param rate: requests per second.
+    :param burst: size of the token bucket, in requests.
     """
 
     name: Name
@@ -126,7 +129,7 @@
 @register_table('failure_domain')
 @dataclass(frozen=True, slots=True)
 class FailureDomain:
-    """A failure domain and the region that holds it."""
+    """A failure domain and the region in which it lies."""
 
     name: Name
     region: str
@@ -135,8 +138,10 @@
 @register_table('link')
 @dataclass(frozen=True, slots=True)
 class Link:
-    """Limit of the traffic from one region to another.
+    """Network link from one region to another.
 
+    :param source: region of the sender.
+    :param target: region of the receiver.
     :param mbits: limit in Mbit/s, shared by all traffic.
     :param delay_ms: one-way delay in milliseconds.
     """
--- a/crocusshunt/routing/_tables.py
+++ b/crocusshunt/routing/_tables.py
@@ -1,4 +1,4 @@
-"""Immutable set of tables."""
+"""Immutable set of configuration tables."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -22,36 +22,41 @@
     rows: Mapping[str, Mapping[str, Row]] = field(default_factory=dict)
 
     def put(self, *rows: Row) -> 'Tables':
-        """Return tables with rows added or replaced.
+        """Return a copy of the tables with rows added or replaced.
 
         :param rows: rows of registered types.
         """
-        changed = {table: dict(named) for table, named in self.rows.items()}
+        tables = {
+            table: dict(rows_by_name)
+            for table, rows_by_name in self.rows.items()
+        }
         for row in rows:
-            changed.setdefault(find_row_table(row), {})[row.name] = row
-        return Tables(changed)
+            tables.setdefault(find_row_table(row), {})[row.name] = row
+        return Tables(tables)
 
     def remove(self, table: str, names: Iterable[str]) -> 'Tables':
-        """Return tables without some rows.
+        """Return a copy of the tables without some rows.
 
         :param table: name of the table.
-        :param names: names of the rows; absent ones are passed over.
+        :param names: names of the rows; absent ones are ignored.
         """
-        changed = dict(self.rows)
-        gone = frozenset(names)
-        changed[table] = {
+        tables = dict(self.rows)
+        removed = frozenset(names)
+        tables[table] = {
             name: row
             for name, row in self.rows.get(table, {}).items()
-            if name not in gone
+            if name not in removed
         }
-        return Tables(changed)
+        return Tables(tables)
 
     def find(self, row_class: type[_RowType], name: str) -> _RowType | None:
-        """Return the row of a type and name, or None."""
+        """Return the row with a type and a name, or None if there is none."""
         row = self.rows.get(find_table(row_class), {}).get(name)
         return cast(_RowType | None, row)
 
     def select(self, row_class: type[_RowType]) -> tuple[_RowType, ...]:
         """Return all rows of a type, sorted by name."""
-        named = self.rows.get(find_table(row_class), {})
-        return tuple(cast(_RowType, named[name]) for name in sorted(named))
+        rows_by_name = self.rows.get(find_table(row_class), {})
+        return tuple(
+            cast(_RowType, rows_by_name[name]) for name in sorted(rows_by_name)
+        )
--- a/crocusshunt/routing/tests/test_checks.py
+++ b/crocusshunt/routing/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""All faults of wrong tables at once, and precedence of routes."""
+"""Tests of the tables' checks and of the precedence of routes."""
 
 from ipaddress import ip_address
 
@@ -21,7 +21,7 @@
     find_faults,
 )
 
-_SOUND = Tables().put(
+_VALID_TABLES = Tables().put(
     FailureDomain('addis-a', 'addis'),
     Pool('verify'),
     Customer('court', rate=1, burst=1),
@@ -98,24 +98,24 @@
     ],
 )
 def test_fault_is_found(row: Row, place: str, problem: str) -> None:
-    faults = find_faults(_SOUND.put(row))
+    faults = find_faults(_VALID_TABLES.put(row))
     assert [(fault.place, fault.problem) for fault in faults] == [
         (place, problem),
     ]
 
 
-def test_sound_tables_have_no_fault() -> None:
-    assert find_faults(_SOUND) == ()
+def test_valid_tables_have_no_fault() -> None:
+    assert find_faults(_VALID_TABLES) == ()
 
 
-def test_all_faults_are_listed_at_once() -> None:
-    wrong = _SOUND.put(Route('a', 'none'), Link('l', 'x', 'y', 1, 1))
+def test_all_faults_are_returned_at_once() -> None:
+    wrong = _VALID_TABLES.put(Route('a', 'none'), Link('l', 'x', 'y', 1, 1))
     assert len(find_faults(wrong)) == 3
 
 
 def test_sibling_prefix_is_not_shadowed() -> None:
     sibling = Route('z', 'verify', path_prefix='/verifyall', order=200)
-    assert find_faults(_SOUND.put(sibling)) == ()
+    assert find_faults(_VALID_TABLES.put(sibling)) == ()
 
 
 @pytest.mark.parametrize(
@@ -129,7 +129,9 @@
         ('/v/deep/1', 'GET', '10.0.0.1', 'deep'),
     ],
 )
-def test_precedence(path: str, method: str, client: str, expected: str) -> None:
+def test_route_precedence(
+    path: str, method: str, client: str, expected: str
+) -> None:
     matcher = RouteMatcher(
         (
             Route('rest', 'p', order=200),
@@ -143,7 +145,7 @@
             ),
         ),
     )
-    facts = RequestAttributes('h', path, method, '', ip_address(client))
-    found = matcher.find(facts)
+    request = RequestAttributes('h', path, method, '', ip_address(client))
+    found = matcher.find(request)
     assert found is not None
     assert found.name == expected
