--- a/crocusshunt/keys/__init__.py
+++ b/crocusshunt/keys/__init__.py
@@ -1,4 +1,4 @@
-"""Callers' keys: digests, extraction from requests, authentication."""
+"""Callers' API keys: their form, digests and authentication."""
 
 from crocusshunt.keys._digests import create_key, digest_key, extract_key_name
 from crocusshunt.keys._keyring import (
--- a/crocusshunt/keys/_digests.py
+++ b/crocusshunt/keys/_digests.py
@@ -1,4 +1,4 @@
-"""Form of a key and the digest that is stored of it."""
+"""Form of API keys, and the digests that are stored in their place."""
 
 from hashlib import sha256
 from secrets import token_hex
@@ -10,7 +10,7 @@
 
 
 def create_key(name: str) -> str:
-    """Return a new key that carries its public name and a random secret.
+    """Return a new key, made of its public name and a random secret.
 
     :param name: name of the key's row, without underscores.
     """
@@ -18,10 +18,10 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the digest that the key table holds in place of the key.
+    """Return the SHA-256 digest that the key table holds in place of the key.
 
-    The secret has 256 random bits, so a plain hash resists guessing. Bytes of
-    a header that are no text arrive as surrogates and are hashed as such.
+    The secret has 256 random bits, so a plain hash resists guessing. Header
+    bytes that are not valid text arrive as surrogates and are hashed as such.
 
     >>> digest_key('ck_court-1_00')[:16]
     'fcca94480198d07b'
@@ -30,7 +30,7 @@
 
 
 def extract_key_name(key: str) -> str:
-    """Return the public name inside a key, or an empty text.
+    """Return the public name in a key, empty if the key has another form.
 
     >>> extract_key_name('ck_court-1_00'), extract_key_name('letmein')
     ('court-1', '')
--- a/crocusshunt/keys/_keyring.py
+++ b/crocusshunt/keys/_keyring.py
@@ -1,4 +1,4 @@
-"""Authentication of callers by the key table."""
+"""Authentication of callers against the key table."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
@@ -23,7 +23,7 @@
 
 
 class KeyState(str, Enum):
-    """Whether a key is honoured."""
+    """Whether a key is accepted."""
 
     granted = 'granted'
     withdrawn = 'withdrawn'
@@ -32,8 +32,10 @@
 @register_table('key')
 @dataclass(frozen=True, slots=True)
 class Key:
-    """A customer's key; the key itself is never stored.
+    """Row of a customer's key, which is stored only as a digest.
 
+    :param name: public name of the key.
+    :param customer: customer whose requests carry the key.
     :param digest: SHA-256 of the key, in hexadecimal.
     """
 
@@ -45,28 +47,28 @@
 
 @dataclass(unsafe_hash=True)
 class RefusedKeyError(CrocusError):
-    """A request whose key is not honoured."""
+    """The key of a request is not accepted."""
 
     code = 'key-refused'
 
 
 @dataclass(unsafe_hash=True)
 class MissingKeyError(RefusedKeyError):
-    """A keyed route was asked without a key, or with more than one."""
+    """A request to a keyed route had no key, or more than one."""
 
     code = 'key-missing'
 
 
 @dataclass(unsafe_hash=True)
 class UnknownKeyError(RefusedKeyError):
-    """A key that no row stands for."""
+    """No row of the key table matches the key."""
 
     code = 'key-unknown'
 
 
 @dataclass(unsafe_hash=True)
 class WithdrawnKeyError(RefusedKeyError):
-    """A key that was withdrawn.
+    """The key has been withdrawn.
 
     :param name: public name of the key.
     """
@@ -77,7 +79,7 @@
 
 
 class Keyring:
-    """Answers which customer a key stands for.
+    """Authenticates keys and finds the customers that own them.
 
     >>> row = Key('court-1', 'court', digest_key('ck_court-1_00'))
     >>> Keyring((row,)).authenticate('ck_court-1_00').unwrap().customer
@@ -91,7 +93,7 @@
         self._keys = {key.name: key for key in keys}
 
     def authenticate(self, presented: str) -> Result[Key, RefusedKeyError]:
-        """Return the key's row, or why it is not honoured.
+        """Return the key's row, or the reason why it is not accepted.
 
         :param presented: the key as the caller sent it.
         """
