--- a/crocusshunt/delivery/_queue.py
+++ b/crocusshunt/delivery/_queue.py
@@ -105,11 +105,11 @@
         """Add a request, or refuse it if it can't be served.
 
         A request is refused at once if its expected wait, the number of
-        requests ahead of it times ``take_interval_s``, exceeds its deadline.
-        When the queue is full, the customer with the most queued requests
-        loses its newest request of the lowest priority, which is returned;
-        the new request is refused if its own customer would then still hold
-        as many.
+        requests ahead of it times ``take_interval_s``, ends after its
+        deadline. When the queue is full, the customer with the most queued
+        requests loses its newest request of the lowest priority, which is
+        returned. It must have at least two more than the customer of the new
+        request, or else the new request is refused.
 
         :param take_interval_s: recently measured time between two takes, in
             seconds.
--- a/crocusshunt/limits/_ledger.py
+++ b/crocusshunt/limits/_ledger.py
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class _Account:
-    term: int
+    term_number: int
     level: float
     updated_at: float
     rate: float
@@ -167,7 +167,7 @@
     def _refresh(self, customer: Customer, term: LendingTerm) -> _Account:
         now = self._clock.monotonic()
         account = self._accounts.get(customer.name)
-        if account is None or account.term != term.number:
+        if account is None or account.term_number != term.number:
             account = _Account(
                 term.number,
                 0,
--- a/crocusshunt/limits/_queue.py
+++ b/crocusshunt/limits/_queue.py
@@ -52,11 +52,12 @@
 
 
 class AdmissionQueue:
-    """Admits requests in order of arrival, and refuses hopeless ones early.
+    """Admits requests in order of arrival; refuses those that can't be in time.
 
-    The home reports the least time until its bucket has another token. A
-    request that would have to wait longer than its longest wait, that time
-    plus its queue position divided by the rate, is refused at once.
+    The home reports the least time until its bucket has another token. The
+    expected wait of a request is that time plus its position in the queue
+    divided by the rate; a request for which it exceeds the longest wait is
+    refused at once.
 
     >>> queue = AdmissionQueue(BorrowSettings(), rate=10)
     >>> queue.arrive(1, now=0, max_wait_s=0.2)
