--- a/crocusshunt/delivery/_forwarding.py
+++ b/crocusshunt/delivery/_forwarding.py
@@ -149,7 +149,7 @@
             return UnknownOutcome(
                 'answer-mismatched',
                 _STATUS_BAD_GATEWAY,
-                'the backend server sent the response to another request',
+                'the backend server answered another request',
             )
         if _is_overload(response):
             return NotRun(
@@ -162,7 +162,7 @@
             return UnknownOutcome(
                 'answer-unframed',
                 _STATUS_BAD_GATEWAY,
-                'the response has neither Content-Length nor chunked coding',
+                'the end of the backend server answer cannot be proved',
             )
         return None
 
@@ -179,7 +179,7 @@
         return UnknownOutcome(
             'deadline-exceeded',
             _STATUS_GATEWAY_TIMEOUT,
-            'no response arrived before the deadline',
+            'no answer came before the deadline',
         )
     disconnected = (aiohttp.ClientConnectionError, ConnectionError)
     code = (
--- a/crocusshunt/delivery/_quarantine.py
+++ b/crocusshunt/delivery/_quarantine.py
@@ -127,7 +127,7 @@
         return NotRun(
             'request-quarantined',
             _STATUS_UNPROCESSABLE,
-            'backend servers crashed each time they ran this request',
+            'backend servers went away each time they ran this request',
             suspicion.expires_at - now,
         )
 
--- a/crocusshunt/gateway/_admission.py
+++ b/crocusshunt/gateway/_admission.py
@@ -142,7 +142,7 @@
             NotRun(
                 'key-suspended',
                 _STATUS_UNAVAILABLE,
-                'a change to this key is being applied; try again',
+                'a change of this key is being accepted; ask again',
                 _EVIDENCE_RETRY_S,
             ),
         )
@@ -161,9 +161,7 @@
 
 
 def _refuse_key(code: str) -> NotRun:
-    return NotRun(
-        code, _STATUS_UNAUTHORIZED, 'the API key is missing or not accepted'
-    )
+    return NotRun(code, _STATUS_UNAUTHORIZED, 'the key is not honoured')
 
 
 def _refuse_unconfigured() -> NotRun:
--- a/crocusshunt/gateway/_bodies.py
+++ b/crocusshunt/gateway/_bodies.py
@@ -95,7 +95,7 @@
             NotRun(
                 'body-broken',
                 _STATUS_BAD_REQUEST,
-                'the body ended before it was complete',
+                'the body ended before its announced end',
             ),
         )
     return Ok(Body(request, bytes(buffered)))
--- a/crocusshunt/gateway/_claiming.py
+++ b/crocusshunt/gateway/_claiming.py
@@ -245,6 +245,6 @@
         'claim-unavailable',
         _STATUS_UNAVAILABLE,
         'the table service did not confirm the idempotency key in time; '
-        'send the request again with the same key, here or to another host',
+        'ask again with the same key, here or at another host',
         _RETRY_S,
     )
--- a/crocusshunt/gateway/_inspection.py
+++ b/crocusshunt/gateway/_inspection.py
@@ -101,7 +101,7 @@
     if 'Transfer-Encoding' in headers and 'Content-Length' in headers:
         return _refuse(
             'ambiguous-length',
-            'both Transfer-Encoding and Content-Length are given',
+            'two framings of one body',
         )
     keys = headers.getall(IDEMPOTENCY_HEADER, ())
     if any(not _is_idempotency_key(key) for key in keys) or len(keys) > 1:
@@ -113,7 +113,7 @@
         return NotRun(
             'expectation-unknown',
             _STATUS_EXPECTATION_FAILED,
-            'only 100-continue is supported',
+            'only 100-continue is known',
         )
     return None
 
--- a/crocusshunt/gateway/_limits.py
+++ b/crocusshunt/gateway/_limits.py
@@ -227,9 +227,7 @@
     def _create_error(self, state: _CustomerState) -> LimitError:
         last_loan = state.last_loan
         if state.last_error or last_loan is None:
-            return LimitUnavailableError(
-                state.last_error or 'the controller has not answered yet'
-            )
+            return LimitUnavailableError(state.last_error or 'no answer yet')
         now = self._clock.monotonic()
         reset_s = max(0, state.queue.next_token_at - now)
         return RateExceededError(
--- a/crocusshunt/gateway/_slots.py
+++ b/crocusshunt/gateway/_slots.py
@@ -191,6 +191,6 @@
     return NotRun(
         code,
         _STATUS_UNAVAILABLE,
-        'no backend server of the pool had a free slot in time',
+        'no backend server of the pool had room in time',
         max(_MIN_RETRY_S, retry_after_s),
     )
--- a/crocusshunt/shifts/_checks.py
+++ b/crocusshunt/shifts/_checks.py
@@ -21,7 +21,7 @@
                 problem = f"region '{name}' does not exist"
                 yield Fault(place, problem, allowed)
         if shift.source == shift.target:
-            yield Fault(place, 'source and target are the same region')
+            yield Fault(place, 'source and target are one region')
 
 
 @register_check
