--- a/crocusshunt/placement/__init__.py
+++ b/crocusshunt/placement/__init__.py
@@ -1,6 +1,6 @@
-"""Which backend server gets a request."""
+"""Choice of the backend server that gets a request."""
 
-from crocusshunt.placement._book import ServerRegistry, TrackedServer
+from crocusshunt.placement._registry import ServerRegistry, TrackedServer
 from crocusshunt.placement._choice import (
     Candidate,
     Choice,
@@ -8,7 +8,7 @@
     RequestConstraints,
     choose_server,
 )
-from crocusshunt.placement._familiarity import RecentObjects
+from crocusshunt.placement._recent_objects import RecentObjects
 from crocusshunt.placement._health import (
     HealthSettings,
     HealthTracker,
@@ -24,8 +24,8 @@
     rank_servers,
 )
 from crocusshunt.placement._splits import WeightedSplit
-from crocusshunt.placement._times import ServiceTimes, Timing
-from crocusshunt.placement._values import ServerEntry
+from crocusshunt.placement._service_times import ServiceTimes, Timing
+from crocusshunt.placement._entries import ServerEntry
 
 __all__ = (
     'Candidate',
--- a/crocusshunt/placement/_choice.py
+++ b/crocusshunt/placement/_choice.py
@@ -1,4 +1,4 @@
-"""Choice among ranked servers, by when each would finish a request."""
+"""Choice among ranked servers by their expected completion times."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,31 +6,35 @@
 
 @dataclass(frozen=True, slots=True)
 class ChoiceSettings:
-    """How far down the ranking a request may go, and how late it may end.
-
-    :param replicas: servers, each of another region, that are considered;
-        one that another region prefers for an object is warm as well.
-    :param unfamiliar: factor on the time at a server that has not handled
-        the object lately.
-    :param gain: a later server must finish within this part of the
-        preferred server's time.
-    :param room_per_slot: requests a slot above which a server takes only
-        the most urgent requests of its pool.
+    """Limits on the choice of a server other than the preferred one.
+
+    :param replicas: number of servers considered, each of another region;
+        the server that another region prefers for an object usually holds
+        the object in memory too.
+    :param cold_object_factor: factor on the service time at a server that
+        has not handled the object recently.
+    :param max_time_ratio: another server is chosen before the preferred one
+        only if its expected completion time is at most this fraction of the
+        preferred server's.
+    :param max_load_per_slot: requests per slot above which a server accepts
+        only the most urgent requests of its pool.
     """
 
     replicas: int = 2
-    unfamiliar: float = 2
-    gain: float = 0.6
-    room_per_slot: float = 1.2
+    cold_object_factor: float = 2
+    max_time_ratio: float = 0.6
+    max_load_per_slot: float = 1.2
 
 
 @dataclass(frozen=True, slots=True)
 class RequestConstraints:
-    """What one request needs of a server.
+    """Time limits and urgency of one request.
 
-    :param objective_left_s: until the latency objective is missed.
-    :param time_left_s: until the answer is of no use.
-    :param is_urgent: whether nothing of its pool is more urgent.
+    :param objective_left_s: time until the latency objective is missed, in
+        seconds.
+    :param time_left_s: time until the deadline, after which an answer is of
+        no use, in seconds.
+    :param is_urgent: whether no route to its pool has a more urgent priority.
     """
 
     objective_left_s: float
@@ -40,13 +44,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A server in the order of preference.
+    """A server considered for a request, with its expected times.
 
-    :param load: requests running or waiting there.
+    :param slots: requests that it runs at once.
+    :param load: estimated number of requests running or waiting there.
     :param service_s: expected time of the request in a slot, in seconds.
-    :param slot_release_s: expected time until a busy slot is free, in seconds.
-    :param round_trip_s: round trip to it, in seconds.
-    :param has_recent_object: whether it has handled the object lately.
+    :param slot_release_s: expected time for which a request occupies a slot,
+        in seconds.
+    :param round_trip_s: network round trip to the server, in seconds.
+    :param has_recent_object: whether it has handled the object recently.
     """
 
     name: str
@@ -59,29 +65,42 @@
 
     @property
     def wait_s(self) -> float:
-        """Return the expected wait for a slot, in seconds."""
-        behind = max(0, self.load + 1 - self.slots)
-        return behind / self.slots * self.slot_release_s
+        """Return the expected wait for a slot, in seconds.
+
+        This is the request's position in the queue, divided by the number of
+        slots, times the time for which a request occupies a slot.
+        """
+        queue_position = max(0, self.load + 1 - self.slots)
+        return queue_position / self.slots * self.slot_release_s
 
     @property
     def next_slot_s(self) -> float:
-        """Return the expected time until one more slot is free, in seconds."""
-        behind = max(1, self.load + 1 - self.slots)
-        return behind / self.slots * self.slot_release_s
+        """Return the expected time until another slot is free, in seconds.
+
+        Unlike the wait, it is that of one queued request at the least.
+        """
+        queue_position = max(1, self.load + 1 - self.slots)
+        return queue_position / self.slots * self.slot_release_s
+
+    def estimate_finish(self, cold_object_factor: float) -> float:
+        """Return the expected time until the answer, in seconds.
 
-    def finish_s(self, unfamiliar: float) -> float:
-        """Return the expected time until the answer, in seconds."""
-        factor = 1 if self.has_recent_object else unfamiliar
+        :param cold_object_factor: see :class:`ChoiceSettings`.
+        """
+        factor = 1 if self.has_recent_object else cold_object_factor
         return self.wait_s + self.service_s * factor + self.round_trip_s
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """What to do with a request now.
-
-    :param index: rank of the server that gets it, None for no server.
-    :param finish_s: expected time until its answer.
-    :param next_slot_s: without a server, until one may have room.
+    """The server chosen for a request, or that none has capacity.
+
+    :param index: position of the chosen server among the candidates, None
+        if none has capacity.
+    :param finish_s: expected time until the answer, in seconds; that of the
+        preferred server if none was chosen.
+    :param next_slot_s: if no server was chosen, expected time until one may
+        have a free slot, in seconds.
     """
 
     index: int | None
@@ -90,49 +109,53 @@
 
 
 def choose_server(
-    need: RequestConstraints,
+    constraints: RequestConstraints,
     ranked: Sequence[Candidate],
     settings: ChoiceSettings,
 ) -> Choice:
-    """Return the server that serves a request best.
+    """Choose the server for a request among ranked candidates.
+
+    The preferred server usually holds the object in memory, so it serves the
+    request at the lowest cost. Another one is chosen only if the preferred
+    one would miss the latency objective and the other is expected to finish
+    clearly earlier, or if the preferred one has no capacity and the other
+    has. A request for which no candidate has capacity is refused at once:
+    requests accepted beyond the capacity would delay all others.
 
-    The preferred server keeps the object warm, so a request costs it least.
-    Another one is chosen only where the preferred one would miss the
-    objective and the other is clearly earlier, or has room where the
-    preferred one has none. A request that none has room for is turned away
-    at once: what runs beyond the room would make all others late.
+    :param ranked: candidates in order of preference, at least one.
 
-    >>> need = RequestConstraints(objective_left_s=0.6, time_left_s=4)
+    >>> constraints = RequestConstraints(objective_left_s=0.6, time_left_s=4)
     >>> full = Candidate('s1', 4, 9, 0.2, 0.3)
     >>> free = Candidate('s2', 4, 0, 0.2, 0.3)
-    >>> choose_server(need, (full, free), ChoiceSettings()).index
+    >>> choose_server(constraints, (full, free), ChoiceSettings()).index
     1
-    >>> choose_server(need, (free, full), ChoiceSettings()).index
+    >>> choose_server(constraints, (free, full), ChoiceSettings()).index
     0
     """
-    times = [one.finish_s(settings.unfamiliar) for one in ranked]
+    times = [one.estimate_finish(settings.cold_object_factor) for one in ranked]
     order = list(range(len(ranked)))
-    if times[0] > need.objective_left_s:
-        by_time = sorted(order, key=times.__getitem__)
-        if times[by_time[0]] <= settings.gain * times[0]:
-            order = by_time
+    if times[0] > constraints.objective_left_s:
+        by_finish_time = sorted(order, key=times.__getitem__)
+        if times[by_finish_time[0]] <= settings.max_time_ratio * times[0]:
+            order = by_finish_time
     for index in order:
-        if _has_room(need, ranked[index], times[index], settings):
+        if _has_capacity(constraints, ranked[index], times[index], settings):
             return Choice(index, times[index])
     return Choice(None, times[0], min(one.next_slot_s for one in ranked))
 
 
-def _has_room(
-    need: RequestConstraints,
+def _has_capacity(
+    constraints: RequestConstraints,
     server: Candidate,
     finish_s: float,
     settings: ChoiceSettings,
 ) -> bool:
     if server.load + 1 <= server.slots:
-        # It can begin at once; how long it takes is a guess.
+        # The request can start at once. Its expected time is only an estimate
+        # and no reason to refuse it.
         return True
-    if finish_s > need.time_left_s:
+    if finish_s > constraints.time_left_s:
         return False
-    if need.is_urgent:
+    if constraints.is_urgent:
         return True
-    return server.load < settings.room_per_slot * server.slots
+    return server.load < settings.max_load_per_slot * server.slots
--- a/crocusshunt/placement/_loads.py
+++ b/crocusshunt/placement/_loads.py
@@ -1,17 +1,19 @@
-"""How many requests a backend server has, as far as one process knows."""
+"""Estimates of the number of requests at a backend server."""
 
 import math
 from dataclasses import dataclass
 
-_PARTS = 3
-# Reports older than this say little: a slot turns over about once a second.
+_FIELD_COUNT = 3
+# Time constant of the decay of a report: a slot gets a new request about once
+# a second, so older reports say little.
 _REPORT_DECAY_S = 1.0
-_PEER_REPORT_AGE_S = 1.0
+# Peers' reports are ignored for this long after one of this host.
+_OWN_REPORT_PRIORITY_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A server's own word on its load."""
+    """Load of a server as reported in its answer, in requests."""
 
     running: int
     waiting: int
@@ -19,22 +21,30 @@
 
 
 def parse_load(text: str) -> LoadReport | None:
-    """Return the report of an answer's header, None if it is unreadable.
+    """Parse the load header of an answer; return None if it is malformed.
+
+    The header holds ``running,waiting,slots``.
 
     >>> parse_load('3,1,8')
     LoadReport(running=3, waiting=1, slots=8)
     >>> parse_load('3,x') is None
     True
     """
-    parts = text.split(',')
-    if len(parts) != _PARTS or not all(map(str.isdecimal, parts)):
+    fields = text.split(',')
+    if len(fields) != _FIELD_COUNT or not all(map(str.isdecimal, fields)):
         return None
-    return LoadReport(*map(int, parts))
+    return LoadReport(*map(int, fields))
 
 
 @dataclass(slots=True)
 class ServerLoad:
-    """Requests at one server: own ones exactly, others' by its reports.
+    """Number of requests at one server.
+
+    Requests of this host are counted; those of other hosts are taken from the
+    server's last report and decay exponentially with its age.
+
+    :param in_flight: requests of this host that the server has not answered.
+    :param reported: requests running or waiting, by this host's last report.
 
     >>> load = ServerLoad()
     >>> load.note_report(LoadReport(4, 2, 5), now=0)
@@ -48,23 +58,25 @@
     _reported_at: float = float('-inf')
 
     def note_report(self, report: LoadReport, now: float) -> None:
-        """Take the report of an answer that has just come."""
+        """Record the report of an answer that has just arrived."""
         self.reported = report.running + report.waiting
         self._others = max(0, self.reported - self.in_flight)
         self._reported_at = now
 
     def note_peer_report(self, total: int, now: float) -> None:
-        """Take what another host lately read of the server's load.
+        """Record the load that another host read from a server's report.
+
+        It may be a heartbeat interval old, so it is ignored while this host
+        has a recent report of its own.
 
-        It may be a heartbeat interval old, so a newer report of its own tells
-        this host more.
+        :param total: requests running or waiting at the server.
         """
-        if now - self._reported_at < _PEER_REPORT_AGE_S:
+        if now - self._reported_at < _OWN_REPORT_PRIORITY_S:
             return
         self._others = max(0, total - self.in_flight)
         self._reported_at = now
 
     def estimate(self, now: float) -> float:
-        """Return the likely number of requests running or waiting there."""
+        """Return the estimated number of requests running or waiting."""
         age = max(0, now - self._reported_at)
         return self.in_flight + self._others * math.exp(-age / _REPORT_DECAY_S)
--- a/crocusshunt/placement/_locality.py
+++ b/crocusshunt/placement/_locality.py
@@ -1,28 +1,36 @@
-"""Which part of a region's objects is served in the region itself."""
+"""Division of a region's objects between its own and other regions."""
 
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 
 from crocusshunt.core import draw_uniform, score_rendezvous
-from crocusshunt.placement._book import TrackedServer
-
-_SPILL = 'spill'
-# Below this utilization requests hardly queue at a server.
-_COMFORTABLE_UTILIZATION = 0.5
-# Slots; keeps a full region last in the order instead of out of it.
-_LEAST_SPARE = 0.01
-# Shares of a region's servers that are full; between them nothing moves.
-_CROWDED = 0.3
-_ROOMY = 0.1
-# Per second; objects that move are cold at first where nobody uses them.
-_RELIEF_STEP = 0.05
-_RETURN_STEP = 0.02
-_LEAST_RELIEF = 0.1
+from crocusshunt.placement._registry import TrackedServer
+
+_SPILL_SALT = 'spill'
+# Up to this utilization requests hardly queue at a server.
+_TARGET_UTILIZATION = 0.5
+# In slots. A region without spare slots is ranked last instead of left out.
+_MIN_SPARE_SLOTS = 0.01
+# Shares of a region's servers without a free slot. Above the higher one the
+# local factor decreases, below the lower one it increases; between the two it
+# stays as it is.
+_HIGH_FULL_SHARE = 0.3
+_LOW_FULL_SHARE = 0.1
+# Change of the local factor per second. The steps are small since an object
+# that moves must first be loaded by its new server, unless it is used there.
+_DECREASE_STEP = 0.05
+_INCREASE_STEP = 0.02
+_MIN_LOCAL_FACTOR = 0.1
 
 
 @dataclass(frozen=True, slots=True)
 class RegionLoad:
-    """Slots of a pool in a region, and slots that its callers keep busy."""
+    """Slots of a pool in a region, and slots that its callers keep busy.
+
+    :param slots: slots of all its servers in the region.
+    :param demand: average number of busy slots, in whatever region, due to
+        requests received in this one.
+    """
 
     slots: float
     demand: float
@@ -33,7 +41,8 @@
     """Where a region's requests for one pool go.
 
     :param local_share: share of objects served in the region itself.
-    :param spare: weight of each other region for the remaining objects.
+    :param spare: spare slots of each other region, which weight it for the
+        remaining objects.
     """
 
     local_share: float = 1
@@ -42,28 +51,31 @@
 
 def plan_locality(
     region: str,
-    rooms: Mapping[str, RegionLoad],
+    loads: Mapping[str, RegionLoad],
 ) -> Locality:
-    """Return how a region's objects are divided.
+    """Plan which share of a region's objects is served locally.
 
-    A region may use its own slots up to a comfortable utilization, or up to
-    the utilization of all regions together where that is higher. What does
-    not fit goes to regions that have room left by the same measure.
+    A region may use its own slots up to the target utilization, or up to the
+    mean utilization of all regions if that is higher. The demand beyond it
+    goes to other regions, in proportion to the slots that they have left up
+    to the same utilization.
 
-    >>> rooms = {'a': RegionLoad(10, 13), 'b': RegionLoad(30, 7)}
-    >>> plan_locality('a', rooms).local_share
+    :param loads: slots and demand of each region.
+
+    >>> loads = {'a': RegionLoad(10, 13), 'b': RegionLoad(30, 7)}
+    >>> plan_locality('a', loads).local_share
     0.38461538461538464
     """
-    slots = sum(room.slots for room in rooms.values())
-    demand = sum(room.demand for room in rooms.values())
+    slots = sum(load.slots for load in loads.values())
+    demand = sum(load.demand for load in loads.values())
     utilization = demand / slots if slots else 0
-    usable = max(_COMFORTABLE_UTILIZATION, utilization)
+    usable = max(_TARGET_UTILIZATION, utilization)
     spare = {
-        name: max(0, usable * room.slots - room.demand)
-        for name, room in rooms.items()
+        name: max(0, usable * load.slots - load.demand)
+        for name, load in loads.items()
         if name != region
     }
-    own = rooms.get(region, RegionLoad(0, 0))
+    own = loads.get(region, RegionLoad(0, 0))
     if own.slots <= 0:
         return Locality(0, spare)
     if own.demand <= usable * own.slots:
@@ -72,31 +84,35 @@
 
 
 def adjust_local_factor(
-    relief: float, crowded: float, elsewhere: float
+    factor: float, full_share: float, full_share_elsewhere: float
 ) -> float:
-    """Return the part of a region's local share that its servers can take.
+    """Return the factor by which a region's local share is reduced.
 
-    The plan counts busy slots and takes all servers for equally fast and
-    evenly loaded. Where many of them are full nevertheless, and those of
-    other regions are not, more objects go there; they return slowly once
-    there is room again.
+    :func:`plan_locality` assumes that all servers are equally fast and evenly
+    loaded. If many servers of a region are full nevertheless and those of
+    other regions are not, the factor decreases step by step, so that more
+    objects are served in other regions. It increases more slowly once the
+    region has free slots again.
 
-    :param relief: the part until now, 1 for the whole local share.
-    :param crowded: share of the region's servers without a free slot.
-    :param elsewhere: the same of all other regions.
+    :param factor: the factor until now, 1 for the whole local share.
+    :param full_share: share of the region's servers without a free slot.
+    :param full_share_elsewhere: the same for all other regions.
 
-    >>> adjust_local_factor(1, 0.5, elsewhere=0)
+    >>> adjust_local_factor(1, 0.5, 0)
     0.95
-    >>> adjust_local_factor(0.5, 0, elsewhere=0)
+    >>> adjust_local_factor(0.5, 0, 0)
     0.52
-    >>> adjust_local_factor(0.5, 0.5, elsewhere=0.5)
+    >>> adjust_local_factor(0.5, 0.5, 0.5)
     0.5
     """
-    if crowded >= _CROWDED and elsewhere <= _ROOMY:
-        return max(_LEAST_RELIEF, relief - _RELIEF_STEP)
-    if crowded <= _ROOMY:
-        return min(1, relief + _RETURN_STEP)
-    return relief
+    if (
+        full_share >= _HIGH_FULL_SHARE
+        and full_share_elsewhere <= _LOW_FULL_SHARE
+    ):
+        return max(_MIN_LOCAL_FACTOR, factor - _DECREASE_STEP)
+    if full_share <= _LOW_FULL_SHARE:
+        return min(1, factor + _INCREASE_STEP)
+    return factor
 
 
 def rank_servers(
@@ -105,17 +121,21 @@
     region: str,
     locality: Locality,
 ) -> Iterator[TrackedServer]:
-    """Order servers for an object, the preferred one first.
+    """Rank servers for an object by rendezvous hashing, preferred one first.
+
+    All hosts of a region compute the same order without communication.
+    A fixed hash of the object decides whether it is within the local share;
+    objects beyond it prefer servers of other regions. The less preferred
+    group is sorted only when the iteration reaches it.
 
-    All hosts of a region agree on the order without talking to each other.
-    Objects beyond the local share prefer another region's server. The less
-    preferred part is ordered only when it is asked for.
+    :param key: key of the object.
+    :param region: region of this host.
     """
     local: list[TrackedServer] = []
     remote: list[TrackedServer] = []
     for server in servers:
         (local if server.region == region else remote).append(server)
-    stays = draw_uniform(key, _SPILL) < locality.local_share
+    is_local = draw_uniform(key, _SPILL_SALT) < locality.local_share
     spare = locality.spare or {}
     has_spare = any(spare.values())
 
@@ -123,8 +143,8 @@
         entry = server.entry
         weight = float(entry.slots)
         if has_spare and server.region != region:
-            weight *= max(_LEAST_SPARE, spare.get(server.region, 0))
+            weight *= max(_MIN_SPARE_SLOTS, spare.get(server.region, 0))
         return score_rendezvous(key, entry.name, weight)
 
-    for part in (local, remote) if stays else (remote, local):
-        yield from sorted(part, key=score, reverse=True)
+    for group in (local, remote) if is_local else (remote, local):
+        yield from sorted(group, key=score, reverse=True)
--- a/crocusshunt/placement/_book.py
+++ b/crocusshunt/placement/_registry.py
@@ -1,14 +1,18 @@
-"""The backend servers that may get work."""
+"""Registry of the backend servers that may get requests."""
 
 from dataclasses import dataclass, replace
 
-from crocusshunt.placement._values import ServerEntry
+from crocusshunt.placement._entries import ServerEntry
 
 
 @dataclass(frozen=True, slots=True)
 class TrackedServer:
     """A backend server as this process knows it.
 
+    A server that has just started is cold: it holds no objects yet and can
+    handle only few requests a second.
+
+    :param region: region of its failure domain, empty if unknown.
     :param cold_until: end of its cold phase, monotonic seconds.
     """
 
@@ -17,19 +21,19 @@
     cold_until: float
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether it bears only few requests a second."""
+        """Tell whether the server is still in its cold phase."""
         return now < self.cold_until
 
 
 class ServerRegistry:
     """Entries of all backend servers, by name and by pool.
 
-    >>> book = ServerRegistry({'a1': 'a'})
-    >>> book.put(ServerEntry('s1', 'verify', '10.0.0.1:80', 'a1', 4), now=0)
-    >>> [one.entry.name for one in book.select('verify')]
+    >>> registry = ServerRegistry({'a1': 'a'})
+    >>> registry.put(ServerEntry('s1', 'verify', '10.0.0.1:80', 'a1', 4), now=0)
+    >>> [one.entry.name for one in registry.select('verify')]
     ['s1']
-    >>> book.empty_domain('a1')
-    >>> book.select('verify')
+    >>> registry.empty_domain('a1')
+    >>> registry.select('verify')
     ()
     """
 
@@ -40,7 +44,7 @@
         """
         self._regions = regions
         self._tracked: dict[str, TrackedServer] = {}
-        self._emptied: set[str] = set()
+        self._emptied_domains: set[str] = set()
         self._selected: dict[str, tuple[TrackedServer, ...]] = {}
 
     @property
@@ -49,7 +53,10 @@
         return frozenset(one.entry.pool for one in self._tracked.values())
 
     def assign_regions(self, regions: dict[str, str]) -> None:
-        """Take another division of failure domains into regions."""
+        """Replace the mapping of failure domains to regions.
+
+        :param regions: region of each failure domain.
+        """
         self._regions = regions
         self._selected = {}
         self._tracked = {
@@ -61,7 +68,13 @@
         }
 
     def put(self, entry: ServerEntry, now: float) -> None:
-        """Take a server's entry; one that says it is cold counts from now."""
+        """Add or replace a server's entry.
+
+        The cold phase that the entry reports is counted from now. A longer
+        one that is already known remains unless the server was restarted.
+
+        :param now: monotonic seconds.
+        """
         known = self._tracked.get(entry.name)
         cold_until = now + entry.cold_left_s if entry.cold_left_s > 0 else 0
         if known is not None and known.entry.started_ms == entry.started_ms:
@@ -71,26 +84,29 @@
         self._selected = {}
 
     def remove(self, name: str) -> ServerEntry | None:
-        """Forget a server that is gone; return its entry if it was known."""
+        """Remove a server; return its entry, None if it was unknown."""
         self._selected = {}
         known = self._tracked.pop(name, None)
         return None if known is None else known.entry
 
     def mark_cold(self, name: str, until: float) -> None:
-        """Treat a server as cold until a moment."""
+        """Treat a server as cold at least until a point in time.
+
+        :param until: monotonic seconds.
+        """
         known = self._tracked.get(name)
         if known is not None and known.cold_until < until:
             self._tracked[name] = replace(known, cold_until=until)
             self._selected = {}
 
     def empty_domain(self, domain: str) -> None:
-        """Send nothing more to the servers of a failure domain."""
-        self._emptied.add(domain)
+        """Exclude the servers of a failure domain from selection."""
+        self._emptied_domains.add(domain)
         self._selected = {}
 
     def restore_domain(self, domain: str) -> tuple[TrackedServer, ...]:
-        """Use a failure domain's servers again; return them."""
-        self._emptied.discard(domain)
+        """Include a failure domain's servers again; return them."""
+        self._emptied_domains.discard(domain)
         self._selected = {}
         return tuple(
             one
@@ -103,16 +119,16 @@
         return self._tracked.get(name)
 
     def select(self, pool: str) -> tuple[TrackedServer, ...]:
-        """Return the servers of a pool that may get work, sorted by name."""
+        """Return the servers of a pool that may get requests, by name."""
         if pool not in self._selected:
             self._selected[pool] = tuple(
                 self._tracked[name]
                 for name in sorted(self._tracked)
-                if self._is_open(self._tracked[name].entry, pool)
+                if self._accepts_requests(self._tracked[name].entry, pool)
             )
         return self._selected[pool]
 
-    def _is_open(self, entry: ServerEntry, pool: str) -> bool:
+    def _accepts_requests(self, entry: ServerEntry, pool: str) -> bool:
         if entry.pool != pool or entry.is_draining:
             return False
-        return entry.failure_domain not in self._emptied
+        return entry.failure_domain not in self._emptied_domains
--- a/crocusshunt/placement/_splits.py
+++ b/crocusshunt/placement/_splits.py
@@ -1,4 +1,4 @@
-"""Requests of a route distributed over its targets by weight."""
+"""Distribution of a route's requests over its targets by weight."""
 
 from crocusshunt.catalog import Target
 
@@ -6,7 +6,8 @@
 class WeightedSplit:
     """Smooth weighted round robin.
 
-    After each round of requests every target has had its exact share.
+    With whole weights, every target gets exactly its share in each series of
+    as many requests as the sum of the weights.
 
     >>> split = WeightedSplit((Target('a', 3), Target('b', 1)))
     >>> [split.choose() for _turn in range(4)]
@@ -14,7 +15,7 @@
     """
 
     def __init__(self, targets: tuple[Target, ...]) -> None:
-        """Start a round."""
+        """Start a first round."""
         self.targets = targets
         self._total = sum(target.weight for target in targets)
         self._credits: dict[str, float] = {target.pool: 0 for target in targets}
