--- a/crocusshunt/sharing/__init__.py
+++ b/crocusshunt/sharing/__init__.py
@@ -1,11 +1,14 @@
-"""Limits that all hosts share, kept without asking another host."""
+"""Limits that all hosts share: rates of customers, and retries.
+
+Each host computes its part from what it knows, without asking another host.
+"""
 
 from crocusshunt.sharing._buckets import CustomerLimiter, Grant, TokenBucket
 from crocusshunt.sharing._demand import DemandMeter
 from crocusshunt.sharing._keepers import CustomerShare, choose_keeper
 from crocusshunt.sharing._retries import RetryLimit, RetryLimiter
 from crocusshunt.sharing._shares import GroupDemand, divide_rate
-from crocusshunt.sharing._spacing import MinIntervalLimiter
+from crocusshunt.sharing._intervals import MinIntervalLimiter
 
 __all__ = (
     'CustomerLimiter',
--- a/crocusshunt/sharing/_buckets.py
+++ b/crocusshunt/sharing/_buckets.py
@@ -1,17 +1,20 @@
-"""Token buckets of customers, sized by this host's part."""
+"""Token buckets that limit customers to this host's part of their rates."""
 
 from dataclasses import dataclass, field
 
-_LEAST_RATE = 0.001
-# Sums of small refills fall short of a token by rounding alone.
-_ROUNDING_S = 0.000001
+# Tokens a second; avoids a division by zero.
+_MIN_RATE = 0.001
+# Shorter waits count as none: rounding errors of many small refills may leave
+# a bucket just short of a token.
+_WAIT_TOLERANCE_S = 0.000001
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
     """Whether a token was taken, and when it may be used.
 
-    :param wait_s: until the token is there, in seconds.
+    :param wait_s: time until the token is available, in seconds, whether it
+        was taken or not.
     """
 
     is_granted: bool
@@ -20,14 +23,21 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Tokens that refill at a rate up to a capacity; starts without any.
+    """Token bucket, which starts empty.
 
-    :param is_over_rate: whether more is asked of all hosts than the rate.
+    Tokens of requests that wait are taken in advance, so the number of tokens
+    may be negative.
+
+    :param rate: tokens added a second.
+    :param capacity: most tokens held; at least one is held in any case.
+    :param filled_at: time of the last refill, monotonic seconds.
+    :param is_over_rate: whether the demand at all hosts together is higher
+        than the customer's rate.
 
     >>> bucket = TokenBucket(rate=2, capacity=4, filled_at=0)
     >>> bucket.take(now=0)
     Grant(is_granted=False, wait_s=0.5)
-    >>> bucket.take(now=0, patience_s=1), bucket.take(now=0, patience_s=1)
+    >>> bucket.take(now=0, max_wait_s=1), bucket.take(now=0, max_wait_s=1)
     (Grant(is_granted=True, wait_s=0.5), Grant(is_granted=True, wait_s=1.0))
     """
 
@@ -38,47 +48,48 @@
     is_over_rate: bool = False
 
     def resize(self, rate: float, capacity: float, now: float) -> None:
-        """Change the size; a larger bucket is not fuller at once."""
-        self._fill(now)
+        """Change rate and capacity; this adds no tokens at once."""
+        self._refill(now)
         self.rate = rate
         self.capacity = capacity
         self.tokens = min(self.tokens, max(1, capacity))
 
-    def take(self, now: float, patience_s: float = 0) -> Grant:
-        """Take a token that is there, or will be within a time.
+    def take(self, now: float, max_wait_s: float = 0) -> Grant:
+        """Take a token that is available now or within the longest wait.
 
-        Requests that wait get the next tokens in the order in which they
-        came; one that is refused takes none. Nobody waits for tokens of a
-        customer that asks for more than its rate: the queue would always be
-        full, and each request late.
+        Waiting requests get the next tokens in the order of their arrival; a
+        refused request takes none. While the customer's demand is higher
+        than its rate, no request waits: the queue would always be full, and
+        every request late.
 
-        :param patience_s: longest wait for a token, in seconds.
+        :param now: monotonic seconds.
+        :param max_wait_s: longest wait for a token, in seconds.
         """
-        self._fill(now)
+        self._refill(now)
         if self.is_over_rate:
-            patience_s = 0
+            max_wait_s = 0
         missing = max(0, 1 - self.tokens)
-        wait_s = missing / max(_LEAST_RATE, self.rate)
-        if wait_s < _ROUNDING_S:
+        wait_s = missing / max(_MIN_RATE, self.rate)
+        if wait_s < _WAIT_TOLERANCE_S:
             wait_s = 0
-        is_granted = wait_s <= patience_s
+        is_granted = wait_s <= max_wait_s
         if is_granted:
             self.tokens -= 1
         return Grant(is_granted, wait_s)
 
     def put_back(self) -> None:
-        """Return the token of a request that was not sent."""
+        """Put back the token of a request that was not sent."""
         self.tokens = min(max(1, self.capacity), self.tokens + 1)
 
-    def _fill(self, now: float) -> None:
-        grown = self.rate * max(0, now - self.filled_at)
-        self.tokens = min(max(1, self.capacity), self.tokens + grown)
+    def _refill(self, now: float) -> None:
+        refilled = self.rate * max(0, now - self.filled_at)
+        self.tokens = min(max(1, self.capacity), self.tokens + refilled)
         self.filled_at = now
 
 
 @dataclass(slots=True)
 class CustomerLimiter:
-    """Buckets of all customers on this host.
+    """Token buckets of all rate-limited customers on this host.
 
     >>> limiter = CustomerLimiter()
     >>> limiter.resize('court', rate=1, burst=2, now=0)
@@ -104,24 +115,24 @@
             bucket.resize(rate, burst, now)
 
     def set_over_rate(self, name: str, *, is_over_rate: bool) -> None:
-        """Note whether a customer asks for more than its rate."""
+        """Set whether a customer's demand is higher than its rate."""
         bucket = self._buckets.get(name)
         if bucket is not None:
             bucket.is_over_rate = is_over_rate
 
     def release(self, name: str) -> None:
-        """Stop limiting a customer."""
+        """Remove a customer's bucket, so that this host does not limit it."""
         self._buckets.pop(name, None)
 
-    def take(self, name: str, now: float, patience_s: float = 0) -> Grant:
-        """Take a token of a customer; one without a limit always gets it."""
+    def take(self, name: str, now: float, max_wait_s: float = 0) -> Grant:
+        """Take a token of a customer; always granted if it has no bucket."""
         bucket = self._buckets.get(name)
         if bucket is None:
             return Grant(is_granted=True, wait_s=0)
-        return bucket.take(now, patience_s)
+        return bucket.take(now, max_wait_s)
 
     def put_back(self, name: str) -> None:
-        """Return the token of a request that was not sent."""
+        """Put back the token of a request that was not sent."""
         bucket = self._buckets.get(name)
         if bucket is not None:
             bucket.put_back()
--- a/crocusshunt/sharing/_keepers.py
+++ b/crocusshunt/sharing/_keepers.py
@@ -1,23 +1,24 @@
-"""Which host keeps the tokens of a customer."""
+"""Choice of the host that holds a customer's token bucket."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 from crocusshunt.core import rank_by_rendezvous
 
-# Requests a second. A smaller part comes in so few tokens that chance alone
-# empties it at one host while others have tokens left.
-_LEAST_OWN_PART = 5
+# In requests a second. With a smaller part for each host, random variation
+# alone empties the bucket of one host while others have tokens left.
+_MIN_RATE_PER_HOST = 5
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerShare:
     """What a host may admit of a customer's rate.
 
-    :param keeper: the host that keeps the tokens of the whole region, empty
-        where each host keeps its own.
-    :param rate: of this host, or of the region if this host keeps it, in
-        requests a second.
+    :param keeper: the host that holds the token bucket of the whole region,
+        empty if each host has a bucket of its own.
+    :param rate: part of this host, or of the region if this host is the
+        keeper, in requests a second.
+    :param burst: part of the customer's burst, in requests.
     """
 
     keeper: str
@@ -31,14 +32,16 @@
     registered: int,
     candidates: Iterable[str],
 ) -> str:
-    """Return the host that keeps a customer's tokens, empty for each its own.
+    """Return the keeper: the host that holds a customer's bucket.
 
-    Tokens of a small rate are kept in one place: divided among many hosts,
-    most of them would lie where no request comes.
+    Empty if each host has a bucket of its own. A small rate gets one bucket in
+    each region: divided among many hosts, most of its tokens would be at hosts
+    that get no request. The keeper is found by rendezvous hashing, so that all
+    hosts of the region choose the same one.
 
-    :param rate: of the customer over all hosts, in requests a second.
-    :param registered: number of all hosts.
-    :param candidates: hosts of the region that live and are ready.
+    :param rate: rate of the customer over all hosts, in requests a second.
+    :param registered: number of registered hosts in all regions.
+    :param candidates: hosts of the region that are alive and ready.
 
     >>> choose_keeper('court', 100, 10, ('h1', 'h2'))
     ''
@@ -46,6 +49,6 @@
     'h1'
     """
     names = tuple(candidates)
-    if not names or rate >= _LEAST_OWN_PART * registered:
+    if not names or rate >= _MIN_RATE_PER_HOST * registered:
         return ''
     return rank_by_rendezvous(customer, names)[0]
--- a/crocusshunt/sharing/_retries.py
+++ b/crocusshunt/sharing/_retries.py
@@ -1,4 +1,4 @@
-"""Retries as a bounded part of requests, over all hosts."""
+"""Retry budget: retries as a bounded share of requests, over all hosts."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -6,10 +6,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryLimit:
-    """Most retries to a pool in any window, over all hosts.
+    """Highest number of retries to a pool in any window, over all hosts.
 
-    :param ratio: retries for each request.
-    :param extra: retries beyond the ratio, divided among the hosts.
+    :param ratio: retries allowed for each request.
+    :param extra: retries allowed beyond the ratio, divided equally among the
+        hosts.
     :param window_s: length of the window, in seconds.
     """
 
@@ -19,16 +20,19 @@
 
 
 @dataclass(slots=True)
-class _Account:
+class _PoolHistory:
+    """Times of requests and retries in the window, monotonic seconds."""
+
     requests: deque[float] = field(default_factory=deque)
     retries: deque[float] = field(default_factory=deque)
 
 
 class RetryLimiter:
-    """Counts this host's requests and retries by pool.
+    """Limits this host's retries to each pool.
 
-    Each host keeps the ratio by itself and uses an equal part of the rest,
-    so all hosts together keep the limit without a word between them.
+    Each host applies the ratio to its own requests and may use an equal part
+    of the extra retries, so all hosts together keep the limit without
+    communication.
 
     >>> limiter = RetryLimiter(RetryLimit(ratio=0.5, extra=2, window_s=10))
     >>> limiter.resize(hosts=2)
@@ -44,32 +48,32 @@
         """Start without requests, as the only host."""
         self._limit = limit
         self._hosts = 1
-        self._accounts: dict[str, _Account] = {}
+        self._histories: dict[str, _PoolHistory] = {}
 
     def resize(self, hosts: int) -> None:
-        """Divide by another number of hosts."""
+        """Set the number of hosts that share the extra retries."""
         self._hosts = max(1, hosts)
 
     def note_request(self, pool: str, now: float) -> None:
-        """Count a request for a pool, its first sending included."""
-        account = self._find(pool, now)
-        account.requests.append(now)
+        """Count a request for a pool; its retries are not counted here."""
+        history = self._find_history(pool, now)
+        history.requests.append(now)
 
     def spend(self, pool: str, now: float) -> bool:
-        """Take a retry; return whether the limit had one."""
+        """Use a retry of the budget; return whether one was left."""
         limit = self._limit
-        account = self._find(pool, now)
-        allowed = limit.ratio * len(account.requests)
+        history = self._find_history(pool, now)
+        allowed = limit.ratio * len(history.requests)
         allowed += limit.extra / self._hosts
-        if len(account.retries) + 1 > allowed:
+        if len(history.retries) + 1 > allowed:
             return False
-        account.retries.append(now)
+        history.retries.append(now)
         return True
 
-    def _find(self, pool: str, now: float) -> _Account:
-        account = self._accounts.setdefault(pool, _Account())
+    def _find_history(self, pool: str, now: float) -> _PoolHistory:
+        history = self._histories.setdefault(pool, _PoolHistory())
         oldest = now - self._limit.window_s
-        for times in (account.requests, account.retries):
+        for times in (history.requests, history.retries):
             while times and times[0] <= oldest:
                 times.popleft()
-        return account
+        return history
--- a/crocusshunt/sharing/_shares.py
+++ b/crocusshunt/sharing/_shares.py
@@ -1,4 +1,4 @@
-"""Division of a rate among hosts by their demand."""
+"""Max-min fair division of a rate among hosts by their demand."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,11 +6,12 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupDemand:
-    """What a group of hosts would use of a rate.
+    """Demand of a group of hosts, of which a rate is divided.
 
-    :param rate: requests a second offered there, None for hosts that were
-        not heard lately and may be using their whole equal parts.
-    :param hosts: size of the group.
+    :param rate: requests a second offered to the group, None if it is unknown
+        since no recent message came from its hosts; they may be using their
+        whole equal shares.
+    :param hosts: number of hosts in the group.
     """
 
     rate: float | None
@@ -18,7 +19,7 @@
 
     @property
     def rate_per_host(self) -> float:
-        """Return the mean demand of the group's hosts."""
+        """Return the mean demand of a host, in requests a second."""
         return (self.rate or 0) / self.hosts
 
 
@@ -26,12 +27,14 @@
     total: float,
     demands: Mapping[str, GroupDemand],
 ) -> dict[str, float]:
-    """Return each group's part of a rate.
+    """Return each group's share of a rate.
 
-    Max-min fair by host: no group gets less than its demand or the equal
-    parts of its hosts, whichever is smaller, and what is left is dealt out
-    by hosts. The parts add up to the total. A group that is not heard keeps
-    its equal parts.
+    Max-min fair by host: each group gets at least its demand or the equal
+    shares of its hosts, whichever is smaller. The rest is divided in
+    proportion to the number of hosts, so the shares add up to the total.
+    A group of unknown demand gets exactly the equal shares of its hosts.
+
+    :param total: the rate, in requests a second.
 
     >>> demands = {'a': GroupDemand(9), 'b': GroupDemand(1, hosts=2)}
     >>> divide_rate(13, {**demands, 'silent': GroupDemand(None)})
@@ -40,35 +43,41 @@
     Reference: D. Bertsekas, R. Gallager, "Data Networks", section 6.5.2.
     """
     hosts = sum(demand.hosts for demand in demands.values())
-    equal = total / max(1, hosts)
-    parts = {
-        name: equal * demand.hosts
+    equal_share = total / max(1, hosts)
+    shares = {
+        name: equal_share * demand.hosts
         for name, demand in demands.items()
         if demand.rate is None
     }
-    left = max(0, total - sum(parts.values()))
-    parts.update(_fill(left, demands))
-    return {name: parts[name] for name in demands}
+    remaining = max(0, total - sum(shares.values()))
+    shares.update(_divide_max_min(remaining, demands))
+    return {name: shares[name] for name in demands}
 
 
-def _fill(
+def _divide_max_min(
     total: float,
     demands: Mapping[str, GroupDemand],
 ) -> dict[str, float]:
-    """Serve heard groups from the least demand a host up, then deal out."""
-    heard = sorted(
+    """Divide a rate among the groups of known demand.
+
+    Groups are served in ascending order of their demand for each host; what
+    remains is then divided in proportion to the number of hosts.
+    """
+    known = sorted(
         (name for name, demand in demands.items() if demand.rate is not None),
         key=lambda name: demands[name].rate_per_host,
     )
-    parts: dict[str, float] = {}
-    waiting = sum(demands[name].hosts for name in heard)
-    everyone = max(1, waiting)
-    left = total
-    for name in heard:
+    shares: dict[str, float] = {}
+    remaining_hosts = sum(demands[name].hosts for name in known)
+    all_hosts = max(1, remaining_hosts)
+    remaining = total
+    for name in known:
         demand = demands[name]
-        parts[name] = min(demand.rate or 0, left * demand.hosts / waiting)
-        left = max(0, left - parts[name])
-        waiting -= demand.hosts
-    for served in heard:
-        parts[served] += left * demands[served].hosts / everyone
-    return parts
+        shares[name] = min(
+            demand.rate or 0, remaining * demand.hosts / remaining_hosts
+        )
+        remaining = max(0, remaining - shares[name])
+        remaining_hosts -= demand.hosts
+    for name in known:
+        shares[name] += remaining * demands[name].hosts / all_hosts
+    return shares
--- a/crocusshunt/sharing/tests/test_shares.py
+++ b/crocusshunt/sharing/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Parts of a rate: what all hosts together may admit."""
+"""Shares of a rate: what all hosts together may admit."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
 
 _TOLERANCE = 1e-6
 _RATES = st.floats(0, 1000)
-_FLEETS = st.dictionaries(
+_DEMANDS = st.dictionaries(
     st.text('abcdef', min_size=1, max_size=3),
     _RATES,
     min_size=1,
@@ -24,36 +24,36 @@
 _TOTALS = st.floats(0.1, 1000)
 
 
-@given(_FLEETS, _TOTALS)
-def test_parts_add_up_to_the_rate(
+@given(_DEMANDS, _TOTALS)
+def test_shares_add_up_to_the_rate(
     demand: dict[str, float],
     total: float,
 ) -> None:
     known = {name: GroupDemand(rate) for name, rate in demand.items()}
-    parts = divide_rate(total, known)
-    assert abs(sum(parts.values()) - total) < _TOLERANCE * total
-    assert min(parts.values()) >= 0
+    shares = divide_rate(total, known)
+    assert abs(sum(shares.values()) - total) < _TOLERANCE * total
+    assert min(shares.values()) >= 0
 
 
-@given(_FLEETS, _TOTALS, st.sets(st.text('abcdef', max_size=2)))
-def test_parts_never_exceed_the_rate_however_hosts_are_cut(
+@given(_DEMANDS, _TOTALS, st.sets(st.text('abcdef', max_size=2)))
+def test_shares_never_exceed_the_rate_during_a_network_partition(
     demand: dict[str, float],
     total: float,
-    cut: set[str],
+    partitioned: set[str],
 ) -> None:
-    """Two sets of hosts that do not hear each other share one rate."""
-    sides = (demand.keys() & cut, demand.keys() - cut)
+    """Two sets of hosts that get no messages of each other share one rate."""
+    partitions = (demand.keys() & partitioned, demand.keys() - partitioned)
     admitted: float = 0
-    for side in sides:
-        known = {name: GroupDemand(demand[name]) for name in side}
-        silent = GroupDemand(None, len(demand) - len(side))
-        parts = divide_rate(total, {**known, 'silent': silent})
-        admitted += sum(parts[name] for name in side)
+    for partition in partitions:
+        known = {name: GroupDemand(demand[name]) for name in partition}
+        silent = GroupDemand(None, len(demand) - len(partition))
+        shares = divide_rate(total, {**known, 'silent': silent})
+        admitted += sum(shares[name] for name in partition)
     assert admitted <= total * (1 + _TOLERANCE)
 
 
-@given(st.dictionaries(st.sampled_from('abc'), _FLEETS, min_size=1), _TOTALS)
-def test_parts_by_region_and_host_add_up_to_the_rate(
+@given(st.dictionaries(st.sampled_from('abc'), _DEMANDS, min_size=1), _TOTALS)
+def test_shares_by_region_and_host_add_up_to_the_rate(
     regions: dict[str, dict[str, float]],
     total: float,
 ) -> None:
@@ -64,25 +64,25 @@
     }
     admitted: float = 0
     for region, hosts in regions.items():
-        part = divide_rate(total, groups)[region]
+        region_share = divide_rate(total, groups)[region]
         known = {name: GroupDemand(rate) for name, rate in hosts.items()}
-        admitted += sum(divide_rate(part, known).values())
+        admitted += sum(divide_rate(region_share, known).values())
     assert abs(admitted - total) < _TOLERANCE * total
 
 
-@given(_FLEETS, _TOTALS)
-def test_nobody_below_its_equal_part_is_cut(
+@given(_DEMANDS, _TOTALS)
+def test_demand_up_to_the_equal_share_is_granted(
     demand: dict[str, float],
     total: float,
 ) -> None:
     known = {name: GroupDemand(rate) for name, rate in demand.items()}
-    parts = divide_rate(total, known)
-    equal = total / len(known)
+    shares = divide_rate(total, known)
+    equal_share = total / len(known)
     for name, rate in demand.items():
-        assert parts[name] >= min(rate, equal) * (1 - _TOLERANCE)
+        assert shares[name] >= min(rate, equal_share) * (1 - _TOLERANCE)
 
 
-def test_growing_part_brings_no_tokens_at_once() -> None:
+def test_larger_share_adds_no_tokens_at_once() -> None:
     limiter = CustomerLimiter()
     limiter.resize('court', rate=1, burst=1, now=0)
     limiter.resize('court', rate=10, burst=50, now=0)
@@ -93,38 +93,38 @@
     assert taken.count(True) == 1
 
 
-def test_hot_customer_gets_its_whole_rate_and_no_request_waits() -> None:
+def test_customer_over_its_rate_gets_all_of_it_without_waits() -> None:
     limiter = CustomerLimiter()
     limiter.resize('court', rate=10, burst=1, now=0)
     limiter.set_over_rate('court', is_over_rate=True)
     grants = [
-        limiter.take('court', turn / 100, patience_s=1) for turn in range(1000)
+        limiter.take('court', step / 100, max_wait_s=1) for step in range(1000)
     ]
     granted = [one for one in grants if one.is_granted]
     assert 95 <= len(granted) <= 101
     assert not any(one.wait_s for one in granted)
 
 
-def test_customer_in_its_rate_waits_a_little_instead_of_being_refused() -> None:
+def test_customer_within_its_rate_waits_instead_of_being_refused() -> None:
     limiter = CustomerLimiter()
     limiter.resize('court', rate=2, burst=1, now=0)
-    pairs = [limiter.take('court', 5, patience_s=0.6) for _ in range(2)]
+    pairs = [limiter.take('court', 5, max_wait_s=0.6) for _ in range(2)]
     assert [one.is_granted for one in pairs] == [True, True]
     assert 0 < pairs[1].wait_s <= 0.5
 
 
 @given(st.integers(1, 30), st.lists(st.integers(0, 29), max_size=300))
-def test_retries_of_all_hosts_keep_the_limit(
+def test_retries_of_all_hosts_stay_within_the_limit(
     hosts: int,
     failing: list[int],
 ) -> None:
     limit = RetryLimit(ratio=0.2, extra=60, window_s=10)
     limiters = [RetryLimiter(limit) for _ in range(hosts)]
     retries = 0
-    for turn, place in enumerate(failing):
-        limiter = limiters[place % hosts]
+    for step, host_index in enumerate(failing):
+        limiter = limiters[host_index % hosts]
         limiter.resize(hosts)
-        now = turn * 0.01
+        now = step * 0.01
         limiter.note_request('verify', now)
         retries += limiter.spend('verify', now) + limiter.spend('verify', now)
     assert retries <= limit.ratio * len(failing) + limit.extra
