--- a/crocusshunt/fleet/__init__.py
+++ b/crocusshunt/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""The hosts of the system, and what they tell each other."""
+"""The hosts of the system, and the messages between them."""
 
 from crocusshunt.fleet._datagrams import (
     DatagramEndpoint,
--- a/crocusshunt/fleet/_datagrams.py
+++ b/crocusshunt/fleet/_datagrams.py
@@ -14,24 +14,30 @@
     """Sends and receives datagrams on one port."""
 
     def __init__(self, receive: Receive) -> None:
-        """Pass received datagrams on."""
+        """Prepare an endpoint; it is opened by the event loop.
+
+        :param receive: called with the content of each received datagram.
+        """
         self._receive = receive
         self._transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Keep the transport, which is needed to send."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, content: bytes, _peer: object) -> None:
-        """Pass a datagram on."""
+        """Pass a received datagram on."""
         self._receive(content)
 
     def error_received(self, error: Exception) -> None:
-        """Note that a datagram was refused; the next heartbeat follows."""
+        """Log an error of an earlier datagram; it is not sent again.
+
+        The next heartbeat replaces it.
+        """
         log_event('datagram refused', logging.DEBUG, error=repr(error))
 
     def send(self, content: bytes, host: str, port: int) -> None:
-        """Send a datagram; it may be lost."""
+        """Send a datagram, which may be lost; without a port it is dropped."""
         if self._transport is not None:
             self._transport.sendto(content, (host, port))
 
@@ -46,7 +52,10 @@
     port: int,
     receive: Receive,
 ) -> DatagramEndpoint:
-    """Open a port for datagrams."""
+    """Open a UDP port.
+
+    :param receive: called with the content of each received datagram.
+    """
     loop = asyncio.get_running_loop()
     _transport, endpoint = await loop.create_datagram_endpoint(
         lambda: DatagramEndpoint(receive),
--- a/crocusshunt/fleet/_messages.py
+++ b/crocusshunt/fleet/_messages.py
@@ -4,10 +4,11 @@
 
 
 class HostRecord(msgspec.Struct, frozen=True):
-    """What a host registers in the store at its start.
+    """Record that a host writes to the store at its start.
 
-    :param ip: address of its internal port.
-    :param internal_port: for datagrams and images, both of them.
+    :param ip: address at which its internal port is open.
+    :param internal_port: port for messages from other hosts (UDP) and for
+        images, that is copies of tables (TCP).
     :param front_address: where callers connect, ``ip:port``.
     """
 
@@ -20,15 +21,17 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True, tag='host'):
-    """What a host tells the hosts of its region.
+    """State of a host, sent regularly to the hosts of its region.
 
-    :param started_at: Unix time in milliseconds; tells a restart.
-    :param sequence: counts the messages since the start.
-    :param is_ready: whether callers should be sent to it.
-    :param versions: version of each followed table that it knows.
+    :param started_at: Unix time of its start in milliseconds, by which a
+        restart is recognized.
+    :param sequence: number of the message since the start.
+    :param is_ready: whether callers should be directed to it.
+    :param versions: version of its copy of each followed table.
     :param demand: offered requests a second, by customer.
     :param busy: busy slots of backend servers, by pool.
-    :param full: requests at backend servers that had no free slot lately.
+    :param full: requests at each backend server that recently had no free
+        slot, by name of the server.
     """
 
     name: str
@@ -47,12 +50,16 @@
     array_like=True,
     tag='region',
 ):
-    """What one host of a region tells the hosts of all other regions.
+    """State of a region, sent by one of its hosts to those of other regions.
 
-    So the bytes between regions grow with the hosts, not with their square.
+    With one sender in each region, the traffic between regions grows linearly
+    with the number of hosts, not with its square.
 
     :param name: the host that sends it.
-    :param hosts: hosts of the region that the sums cover.
+    :param started_at: see :class:`Heartbeat`.
+    :param sequence: see :class:`Heartbeat`.
+    :param hosts: number of hosts of the region that the sums cover.
+    :param versions: version of the sender's copy of each followed table.
     :param demand: offered requests a second, by customer.
     :param busy: busy slots of backend servers, by pool.
     """
@@ -68,11 +75,11 @@
 
 
 class TokenRequest(msgspec.Struct, frozen=True, array_like=True, tag='ask'):
-    """Asks the host that keeps a customer's tokens for one.
+    """Request for a token to the keeper, the host with a customer's bucket.
 
-    :param name: the host that asks.
-    :param number: tells the answers to one host's asks apart.
-    :param patience_s: how long the request may wait for it.
+    :param name: the host that sends it.
+    :param number: identifies the reply among those to the same host.
+    :param patience_s: longest wait for the token, in seconds.
     """
 
     name: str
@@ -82,11 +89,14 @@
 
 
 class TokenReply(msgspec.Struct, frozen=True, array_like=True, tag='grant'):
-    """Answers an ask.
+    """Reply to a token request.
 
-    :param name: the host that answers.
-    :param keeper: the host that keeps the tokens, as the answerer sees it.
-    :param wait_s: until the token is there.
+    :param name: the host that sends it.
+    :param number: number of the request.
+    :param keeper: the host that holds the customer's bucket, as far as the
+        sender knows; another one than the sender is to be asked instead.
+    :param is_granted: whether the token was taken.
+    :param wait_s: time until the token is available, in seconds.
     """
 
     name: str
@@ -101,12 +111,12 @@
 
 
 def encode(message: msgspec.Struct) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message."""
     return msgspec.msgpack.encode(message)
 
 
 def decode_message(content: bytes) -> Message | None:
-    """Return a message of another host, None for bytes that are none."""
+    """Decode a message of another host; return None if it is malformed."""
     try:
         return msgspec.msgpack.decode(content, type=Message)
     except (msgspec.DecodeError, UnicodeError):
@@ -114,7 +124,7 @@
 
 
 def decode_host(content: bytes) -> HostRecord | None:
-    """Return the record of a host, None for bytes that are none."""
+    """Decode the record of a host; return None if it is malformed."""
     try:
         return msgspec.json.decode(content, type=HostRecord)
     except (msgspec.DecodeError, UnicodeError):
--- a/crocusshunt/fleet/_view.py
+++ b/crocusshunt/fleet/_view.py
@@ -1,4 +1,4 @@
-"""Which hosts there are, and which of them live."""
+"""Registered hosts, and which of them are live."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -13,11 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """When a host counts as gone.
+    """When a host is no longer considered live.
 
     :param heartbeat_s: time between heartbeats, in seconds.
-    :param silent_after_s: silence after which callers are no longer sent to
-        a host, in seconds.
+    :param silent_after_s: time without a heartbeat after which callers are no
+        longer directed to a host, in seconds.
     """
 
     heartbeat_s: float = 1
@@ -26,27 +26,36 @@
 
 @dataclass(slots=True)
 class Peer:
-    """Another host, by its record and its last heartbeat."""
+    """Another host, with its record and its last heartbeat.
+
+    :param received_at: time of the last heartbeat, monotonic seconds.
+    """
 
     record: HostRecord
     heartbeat: Heartbeat | None = None
-    heard_at: float = float('-inf')
+    received_at: float = float('-inf')
 
-    def is_heard(self, now: float, within_s: float) -> bool:
-        """Tell whether a heartbeat came within a time."""
-        return now - self.heard_at <= within_s
+    def is_live(self, now: float, max_age_s: float) -> bool:
+        """Tell whether the last heartbeat is recent.
+
+        :param max_age_s: longest time since it, in seconds.
+        """
+        return now - self.received_at <= max_age_s
 
 
 @dataclass(frozen=True, slots=True)
-class HeardRegion:
-    """Another region, by the last summary that came from it."""
+class RegionState:
+    """Another region, with the last summary received from it.
+
+    :param received_at: time of the summary, monotonic seconds.
+    """
 
     summary: RegionSummary
-    heard_at: float
+    received_at: float
 
 
 class FleetView:
-    """All registered hosts as one host sees them.
+    """All registered hosts, as known to one of them.
 
     >>> own = HostRecord('h1', '10.0.0.1', 7600, '10.0.0.1:80', 'a1', 'a')
     >>> view = FleetView(own, FleetSettings())
@@ -57,11 +66,14 @@
     """
 
     def __init__(self, own: HostRecord, settings: FleetSettings) -> None:
-        """Start alone."""
+        """Start with no other host.
+
+        :param own: record of this host.
+        """
         self.own = own
         self._settings = settings
         self.peers: dict[str, Peer] = {}
-        self._regions: dict[str, HeardRegion] = {}
+        self._regions: dict[str, RegionState] = {}
 
     @property
     def names(self) -> tuple[str, ...]:
@@ -69,7 +81,10 @@
         return tuple(sorted({self.own.name, *self.peers}))
 
     def put(self, record: HostRecord) -> None:
-        """Take the record of a host."""
+        """Add or replace the record of a host.
+
+        A changed record discards the host's last heartbeat.
+        """
         if record.name == self.own.name:
             return
         known = self.peers.get(record.name)
@@ -77,7 +92,7 @@
             self.peers[record.name] = Peer(record)
 
     def remove(self, name: str) -> None:
-        """Forget a host whose record was removed."""
+        """Remove a host whose record was removed."""
         self.peers.pop(name, None)
 
     @property
@@ -106,36 +121,43 @@
         )
 
     def is_summary_sender(self, now: float) -> bool:
-        """Tell whether this host sends its region's summary."""
-        heard = (peer.record.name for peer in self.list_live(now))
-        return all(self.own.name < name for name in heard)
+        """Tell whether this host sends the summary of its region.
+
+        It does if its name is the first among the region's live hosts.
+        """
+        live_names = (peer.record.name for peer in self.list_live(now))
+        return all(self.own.name < name for name in live_names)
 
     def handle_message(self, message: StatusMessage, now: float) -> Peer | None:
-        """Take a message; return its host, None for an unknown or old one."""
+        """Record a message; return the host that sent it.
+
+        Return None, and ignore the message, if the host is unknown or if a
+        newer heartbeat of it was received before.
+        """
         peer = self.peers.get(message.name)
         if peer is None:
             return None
         if isinstance(message, RegionSummary):
-            self._regions[message.region] = HeardRegion(message, now)
+            self._regions[message.region] = RegionState(message, now)
             return peer
         known = peer.heartbeat
         if known is not None and _is_older(message, known):
             return None
         peer.heartbeat = message
-        peer.heard_at = now
+        peer.received_at = now
         return peer
 
     def list_live(self, now: float) -> tuple[Peer, ...]:
-        """Return the other hosts of this region that were heard lately."""
-        limit = self._settings.silent_after_s
+        """Return the other hosts of this region with recent heartbeats."""
+        max_age_s = self._settings.silent_after_s
         return tuple(
             peer
             for _name, peer in sorted(self.peers.items())
-            if peer.is_heard(now, limit)
+            if peer.is_live(now, max_age_s)
         )
 
     def list_ready(self, now: float) -> tuple[HostRecord, ...]:
-        """Return the other hosts of this region that take requests."""
+        """Return the live other hosts of this region that are ready."""
         return tuple(
             peer.record
             for peer in self.list_live(now)
@@ -143,12 +165,12 @@
         )
 
     def list_summaries(self, now: float) -> tuple[RegionSummary, ...]:
-        """Return the summaries of other regions that came lately."""
-        limit = self._settings.silent_after_s
+        """Return the summaries of other regions that are recent."""
+        max_age_s = self._settings.silent_after_s
         return tuple(
-            heard.summary
-            for _region, heard in sorted(self._regions.items())
-            if now - heard.heard_at <= limit
+            state.summary
+            for _region, state in sorted(self._regions.items())
+            if now - state.received_at <= max_age_s
         )
 
     def find_front_addresses(
@@ -159,32 +181,37 @@
         *,
         is_ready: bool,
     ) -> tuple[str, ...]:
-        """Return where callers should connect, nearest hosts only.
+        """Return the addresses to which a caller should connect.
 
-        Hosts of the caller's failure domain if there are two or more that
-        are ready, else those of its region, else those of this host's
-        region, else every host.
+        These are the ready hosts of the caller's failure domain if there are
+        two or more, else those of its region, else those of this host's
+        region, else all ready hosts.
 
+        :param failure_domain: failure domain of the caller.
+        :param region: region of the caller.
         :param is_ready: whether this host is ready itself.
         """
         ready = list(self.list_ready(now))
         if is_ready:
             ready.append(self.own)
-        domain = _select_domain(ready, failure_domain)
-        if len(domain) >= _LEAST_ENTRIES:
-            return _list_addresses(domain)
-        for wanted in (region, self.own.region):
-            near = [record for record in ready if record.region == wanted]
-            if near:
-                return _list_addresses(near)
+        domain_hosts = _filter_by_domain(ready, failure_domain)
+        if len(domain_hosts) >= _MIN_ADDRESSES:
+            return _list_addresses(domain_hosts)
+        for preferred_region in (region, self.own.region):
+            region_hosts = [
+                record for record in ready if record.region == preferred_region
+            ]
+            if region_hosts:
+                return _list_addresses(region_hosts)
         return _list_addresses(ready)
 
 
-# A caller whose only address fails could not go on until its next look-up.
-_LEAST_ENTRIES = 2
+# With a single address, a caller could send nothing after a failure of that
+# host until its next look-up.
+_MIN_ADDRESSES = 2
 
 
-def _select_domain(
+def _filter_by_domain(
     records: Iterable[HostRecord],
     failure_domain: str,
 ) -> list[HostRecord]:
@@ -196,9 +223,10 @@
 
 
 def _is_older(heartbeat: Heartbeat, known: Heartbeat) -> bool:
-    """Tell whether a heartbeat was overtaken by a newer one.
+    """Tell whether a heartbeat is not newer than the last one received.
 
-    Heartbeats of another start are never older: wall clocks may step back.
+    Heartbeats may arrive out of order. One with another start time is always
+    taken for newer, since wall clocks may be set back between two starts.
     """
     if heartbeat.started_at != known.started_at:
         return False
