--- a/crocusshunt/feeds/__init__.py
+++ b/crocusshunt/feeds/__init__.py
@@ -1,4 +1,4 @@
-"""Tables of a store, followed as they change."""
+"""Local copies of a store's tables, kept up to date through its feeds."""
 
 from crocusshunt.feeds._errors import (
     FeedError,
@@ -9,7 +9,7 @@
 )
 from crocusshunt.feeds._follower import Follower, FollowerSettings
 from crocusshunt.feeds._image import TableImage
-from crocusshunt.feeds._values import Changes, FeedStore, Row, RowWrite
+from crocusshunt.feeds._rows import Changes, FeedStore, Row, RowWrite
 
 __all__ = (
     'Changes',
--- a/crocusshunt/feeds/_errors.py
+++ b/crocusshunt/feeds/_errors.py
@@ -1,4 +1,4 @@
-"""Failures of calls to a store that has feeds."""
+"""Errors of calls to a store that offers change feeds."""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -8,7 +8,7 @@
 
 @dataclass(unsafe_hash=True)
 class FeedError(CrocusError):
-    """A call to the store gave no usable answer.
+    """A call to the store returned no usable answer.
 
     :param detail: status or name of the underlying error.
     """
@@ -20,14 +20,14 @@
 
 @dataclass(unsafe_hash=True)
 class FeedRefusedError(FeedError):
-    """The store refused the call; nothing was done."""
+    """The store refused the call; nothing was read or written."""
 
     code = 'feed-refused'
 
 
 @dataclass(unsafe_hash=True)
 class FeedUnreachableError(FeedError):
-    """No answer came; a write may have been done."""
+    """No answer came; a write may have been carried out nevertheless."""
 
     code = 'feed-unreachable'
 
@@ -41,6 +41,9 @@
 
 @dataclass(unsafe_hash=True)
 class HistoryLostError(FeedError):
-    """The changes since a version are no longer kept: read the table anew."""
+    """The store no longer has the changes since a version.
+
+    The whole table must be read again.
+    """
 
     code = 'feed-history-lost'
--- a/crocusshunt/feeds/_follower.py
+++ b/crocusshunt/feeds/_follower.py
@@ -11,28 +11,31 @@
 from crocusshunt.core import Clock
 from crocusshunt.feeds._errors import FeedError, HistoryLostError
 from crocusshunt.feeds._image import TableImage
-from crocusshunt.feeds._values import Changes, FeedStore, Row
+from crocusshunt.feeds._rows import Changes, FeedStore, Row
 from crocusshunt.logs import log_event
 
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 0.6
+_INITIAL_PAUSE_S = 0.1
+_MAX_PAUSE_S = 0.6
 _PAUSE_GROWTH = 2
 _JITTER = 0.3
 
-Sink = Callable[[tuple[Row, ...]], None]
+RowSink = Callable[[tuple[Row, ...]], None]
 
 
 @dataclass(frozen=True, slots=True)
 class FollowerSettings:
     """How a table is followed.
 
-    :param wait_s: longest wait of one call for news, in seconds; a
-        connection that went silent is noticed soon after it at the latest.
-    :param spacing_s: pause after news, so that the next call brings all that
-        changes meanwhile, in seconds.
-    :param settle_s: after an outage of the store, how long removals are put
-        off, in seconds, since their owners may still write them anew.
-    :param outage_s: failures shorter than this are no outage, in seconds.
+    :param table: name of the table.
+    :param wait_s: longest time for which one call waits for changes, in
+        seconds; a connection without answers is noticed soon after it.
+    :param spacing_s: pause after an answer with changes, in seconds, so that
+        the next call returns several changes at once.
+    :param settle_s: time for which removals are deferred after an outage of
+        the store, in seconds, since the owners of the removed rows may still
+        write them again.
+    :param outage_s: shortest time of failures that counts as an outage, in
+        seconds.
     """
 
     table: str
@@ -43,10 +46,10 @@
 
 
 class Follower:
-    """Follows a table through its feed, or through peers.
+    """Keeps a copy of a table up to date through its feed, or from peers.
 
-    News reach the sink in order. The image never falls back to an older
-    version.
+    Changed rows are passed to the sink in order, except that removals are
+    deferred after an outage. The copy never returns to an older version.
     """
 
     def __init__(
@@ -54,9 +57,12 @@
         store: FeedStore,
         settings: FollowerSettings,
         clock: Clock,
-        sink: Sink,
+        sink: RowSink,
     ) -> None:
-        """Use a store; nothing is read yet."""
+        """Prepare to follow a table; nothing is read yet.
+
+        :param sink: called with the rows that were written or removed.
+        """
         self.settings = settings
         self.image = TableImage()
         self._store = store
@@ -64,14 +70,14 @@
         self._sink = sink
         self._answered_at = clock.monotonic()
         self._failing_since: float | None = None
-        self._is_cut = False
-        self._has_news = False
-        self._settled_at: float = 0
-        self._put_off: dict[str, Row] = {}
+        self._is_loss_logged = False
+        self._has_changes = False
+        self._settle_until: float = 0
+        self._deferred_removals: dict[str, Row] = {}
 
     @property
     def age_s(self) -> float:
-        """Return the seconds since the store last answered."""
+        """Return the time since the last answer of the store, in seconds."""
         return self._clock.monotonic() - self._answered_at
 
     @property
@@ -80,15 +86,15 @@
         return self._failing_since is not None
 
     async def run(self) -> None:
-        """Follow until cancelled."""
-        pause = _FIRST_PAUSE_S
+        """Poll the store until cancelled, with backoff after failures."""
+        pause = _INITIAL_PAUSE_S
         while True:
             if await self.poll():
-                pause = _FIRST_PAUSE_S
-                await asyncio.sleep(self._find_spacing())
+                pause = _INITIAL_PAUSE_S
+                await asyncio.sleep(self._compute_pause())
                 continue
             await asyncio.sleep(pause * (1 + _JITTER * random.random()))
-            pause = min(_LONGEST_PAUSE_S, pause * _PAUSE_GROWTH)
+            pause = min(_MAX_PAUSE_S, pause * _PAUSE_GROWTH)
 
     async def poll(self) -> bool:
         """Call the store once; return whether it answered."""
@@ -99,7 +105,10 @@
         return True
 
     def apply_peer_image(self, changes: Changes) -> bool:
-        """Take a peer's newer image; return whether it was newer."""
+        """Apply a peer's copy of the table; return whether it was newer.
+
+        :param changes: all rows of the peer's copy.
+        """
         if changes.version <= self.image.version:
             return False
         self._publish(self.image.replace(changes))
@@ -110,78 +119,87 @@
         table = self.settings.table
         if not image.is_known:
             answer = await self._store.read_table(table)
-            return answer.inspect(self._take_whole)
-        wait_s = self._find_wait()
+            return answer.inspect(self._apply_table)
+        wait_s = self._compute_wait()
         answer = await self._store.read_changes(table, image.version, wait_s)
         if not isinstance(answer, Err):
-            return answer.inspect(self._take_news)
+            return answer.inspect(self._apply_changes)
         if isinstance(answer.err_value, HistoryLostError):
             log_event('feed history lost, reading the table', table=table)
             answer = await self._store.read_table(table)
-            return answer.inspect(self._take_whole)
+            return answer.inspect(self._apply_table)
         return answer
 
-    def _find_wait(self) -> float:
+    def _compute_wait(self) -> float:
         if self.is_failing:
             return 0
-        if not self._put_off:
+        if not self._deferred_removals:
             return self.settings.wait_s
-        left = self._settled_at - self._clock.monotonic()
-        return min(self.settings.wait_s, max(0, left))
+        remaining_s = self._settle_until - self._clock.monotonic()
+        return min(self.settings.wait_s, max(0, remaining_s))
+
+    def _compute_pause(self) -> float:
+        """Return the pause after an answer, in seconds.
 
-    def _find_spacing(self) -> float:
-        """Return the pause after an answer; removals put off end it."""
-        spacing_s = self.settings.spacing_s if self._has_news else 0
-        if not self._put_off:
+        It ends early when deferred removals are due.
+        """
+        spacing_s = self.settings.spacing_s if self._has_changes else 0
+        if not self._deferred_removals:
             return spacing_s
-        left_s = self._settled_at - self._clock.monotonic()
-        return min(spacing_s, max(0, left_s))
+        remaining_s = self._settle_until - self._clock.monotonic()
+        return min(spacing_s, max(0, remaining_s))
 
-    def _take_whole(self, changes: Changes) -> None:
+    def _apply_table(self, changes: Changes) -> None:
         self._note_answer()
         self._publish(self.image.replace(changes))
 
-    def _take_news(self, changes: Changes) -> None:
+    def _apply_changes(self, changes: Changes) -> None:
         self._note_answer()
         self._publish(self.image.merge(changes))
 
-    def _publish(self, news: tuple[Row, ...]) -> None:
-        """Pass news on, and removals only once the store has settled."""
-        self._has_news = bool(news)
+    def _publish(self, changed_rows: tuple[Row, ...]) -> None:
+        """Pass changed rows to the sink.
+
+        Removals are deferred until the time to settle after an outage is over.
+        A row that is written again meanwhile is no longer removed.
+        """
+        self._has_changes = bool(changed_rows)
         now = self._clock.monotonic()
-        for changed in news:
-            self._put_off.pop(changed.key, None)
-        if now < self._settled_at:
-            removed = {row.key: row for row in news if row.is_removed}
-            self._put_off.update(removed)
-            news = tuple(row for row in news if not row.is_removed)
-        elif self._put_off:
-            news = (*news, *self._put_off.values())
-            self._put_off = {}
-        if news:
-            self._sink(news)
+        for changed_row in changed_rows:
+            self._deferred_removals.pop(changed_row.key, None)
+        if now < self._settle_until:
+            removed = {row.key: row for row in changed_rows if row.is_removed}
+            self._deferred_removals.update(removed)
+            changed_rows = tuple(
+                row for row in changed_rows if not row.is_removed
+            )
+        elif self._deferred_removals:
+            changed_rows = (*changed_rows, *self._deferred_removals.values())
+            self._deferred_removals = {}
+        if changed_rows:
+            self._sink(changed_rows)
 
     def _note_answer(self) -> None:
         now = self._clock.monotonic()
         if self._failing_since is not None:
-            lasted = now - self._failing_since
-            if lasted >= self.settings.outage_s:
-                self._settled_at = now + self.settings.settle_s
-            if self._is_cut:
+            failing_s = now - self._failing_since
+            if failing_s >= self.settings.outage_s:
+                self._settle_until = now + self.settings.settle_s
+            if self._is_loss_logged:
                 log_event(
                     'store regained',
                     table=self.settings.table,
-                    outage_s=round(lasted, 3),
+                    outage_s=round(failing_s, 3),
                 )
         self._failing_since = None
-        self._is_cut = False
+        self._is_loss_logged = False
         self._answered_at = now
 
     def _note_failure(self, error: FeedError) -> None:
         if self._failing_since is None:
             self._failing_since = self._answered_at
-        if not self._is_cut:
-            self._is_cut = True
+        if not self._is_loss_logged:
+            self._is_loss_logged = True
             log_event(
                 'store lost',
                 logging.WARNING,
--- a/crocusshunt/feeds/_image.py
+++ b/crocusshunt/feeds/_image.py
@@ -1,10 +1,13 @@
-"""What one process knows of a table."""
+"""A process's copy of a table."""
 
-from crocusshunt.feeds._values import Changes, Row
+from crocusshunt.feeds._rows import Changes, Row
 
 
 class TableImage:
-    """Rows of a table, which only move forward in version.
+    """Copy of a table, whose version never decreases.
+
+    ``version`` is that of the store when the copy was last updated, -1 before
+    the first time; ``changed_at`` is the version of the last change of a row.
 
     >>> image = TableImage()
     >>> image.replace(Changes((Row('a', b'1', 3),), 5))
@@ -16,7 +19,7 @@
     """
 
     def __init__(self) -> None:
-        """Start without rows, before the first version."""
+        """Start without rows."""
         self.rows: dict[str, Row] = {}
         self.version = -1
         self.changed_at = 0
@@ -27,45 +30,48 @@
         return self.version >= 0
 
     def replace(self, changes: Changes) -> tuple[Row, ...]:
-        """Take a whole table; return the rows that changed or went."""
+        """Replace all rows; return those that were changed or removed.
+
+        An older version is ignored.
+        """
         if changes.version < self.version:
             return ()
-        found = {row.key: row for row in changes.rows}
-        gone = tuple(
+        rows = {row.key: row for row in changes.rows}
+        removed = tuple(
             Row(row.key, b'', changes.version, is_removed=True)
             for key, row in self.rows.items()
-            if key not in found
+            if key not in rows
         )
-        changed = tuple(row for row in changes.rows if self._is_news(row))
-        self.rows = found
-        self._advance(changes.version, (*changed, *gone))
-        return (*changed, *gone)
+        changed = tuple(row for row in changes.rows if self._is_change(row))
+        self.rows = rows
+        self._advance(changes.version, (*changed, *removed))
+        return (*changed, *removed)
 
     def merge(self, changes: Changes) -> tuple[Row, ...]:
-        """Take changes in order; return those that are news.
+        """Apply changes in order; return those that were new.
 
-        An answer may have been under way while a newer image came: what it
-        tells of rows that are gone by now must not bring them back.
+        An answer may be overtaken by a newer copy of the table from a peer. Its
+        changes to rows that were removed in the meantime must not restore them.
         """
-        news = tuple(
+        changed_rows = tuple(
             row
             for row in changes.rows
             if row.version > self.version and self._apply(row)
         )
-        self._advance(changes.version, news)
-        return news
+        self._advance(changes.version, changed_rows)
+        return changed_rows
 
     def export(self) -> Changes:
-        """Return the whole table, for another process."""
+        """Return all rows, for another process."""
         return Changes(tuple(self.rows.values()), self.changed_at)
 
     def _apply(self, row: Row) -> bool:
-        """Apply one change; return whether it was news.
+        """Apply one change; return whether it was new.
 
         One answer may write a row and remove it again, so each change is
-        judged by what those before it left.
+        compared with the rows as the changes before it left them.
         """
-        if not self._is_news(row):
+        if not self._is_change(row):
             return False
         if row.is_removed:
             self.rows.pop(row.key)
@@ -73,13 +79,13 @@
             self.rows[row.key] = row
         return True
 
-    def _is_news(self, row: Row) -> bool:
+    def _is_change(self, row: Row) -> bool:
         known = self.rows.get(row.key)
         if known is None:
             return not row.is_removed
         return row.version > known.version
 
-    def _advance(self, version: int, news: tuple[Row, ...]) -> None:
+    def _advance(self, version: int, changed_rows: tuple[Row, ...]) -> None:
         self.version = max(self.version, version)
-        versions = (row.version for row in news)
+        versions = (row.version for row in changed_rows)
         self.changed_at = max((self.changed_at, *versions))
--- a/crocusshunt/feeds/_values.py
+++ b/crocusshunt/feeds/_rows.py
@@ -1,4 +1,4 @@
-"""Rows of a store, and the calls that a follower needs."""
+"""Rows of a store, and the interface to it that a follower uses."""
 
 from typing import Protocol
 
@@ -11,7 +11,7 @@
 class Row(msgspec.Struct, frozen=True, array_like=True):
     """One row of a table.
 
-    :param version: the store's version of the change that wrote it.
+    :param version: version of the store at the last change of the row.
     :param is_removed: whether the change removed the row.
     """
 
@@ -22,7 +22,7 @@
 
 
 class Changes(msgspec.Struct, frozen=True, array_like=True):
-    """Rows as of a version.
+    """All rows of a table, or those that changed, as of a version.
 
     :param version: newest version of the store that the rows reflect.
     """
@@ -32,7 +32,7 @@
 
 
 class RowWrite(msgspec.Struct, frozen=True):
-    """A row to write, or to remove without content."""
+    """A row to write, or to remove if it has no content."""
 
     table: str
     key: str
@@ -40,7 +40,7 @@
 
 
 class FeedStore(Protocol):
-    """A store whose tables can be read whole and followed."""
+    """A store whose tables can be read and followed through feeds."""
 
     async def read_table(self, table: str) -> Result[Changes, FeedError]:
         """Return all rows of a table."""
@@ -51,10 +51,18 @@
         after: int,
         wait_s: float,
     ) -> Result[Changes, FeedError]:
-        """Return what changed after a version, at the latest after a wait."""
+        """Return the changes after a version.
+
+        Wait for a change if there is none, then return without one.
+
+        :param wait_s: longest wait, in seconds.
+        """
 
     async def write(self, write: RowWrite) -> Result[None, FeedError]:
-        """Write or remove one row, whatever it held."""
+        """Write or remove one row, whatever its current content."""
 
     def redirect(self, address: str) -> None:
-        """Use the store at another address from now on."""
+        """Use the store at another address from now on.
+
+        :param address: ``ip:port``.
+        """
