--- a/crocusshunt/platform/__init__.py
+++ b/crocusshunt/platform/__init__.py
@@ -1,7 +1,7 @@
-"""The users' platform: its names, formats and calls."""
+"""The users' platform: its header and table names, formats and store."""
 
 from crocusshunt.platform._configuration import decode_catalog
-from crocusshunt.platform._names import SOURCE_FORMAT
+from crocusshunt.platform._source_format import SOURCE_FORMAT
 from crocusshunt.platform._rows import RowStoreClient
 from crocusshunt.platform._servers import decode_server
 from crocusshunt.platform._settings import (
--- a/crocusshunt/platform/_configuration.py
+++ b/crocusshunt/platform/_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, decoded into a catalog."""
+"""Decoding of the operator's configuration into a catalog."""
 
 from typing import Any, TypeVar
 
@@ -16,7 +16,7 @@
 )
 from crocusshunt.front import MalformedSourceError
 
-_HEXADECIMAL = 16
+_HEXADECIMAL_BASE = 16
 _IDEMPOTENT = 'idempotent'
 
 _Spec = TypeVar('_Spec')
@@ -32,8 +32,8 @@
     spec: msgspec.Raw = msgspec.Raw(b'{}')
 
 
-class _Document(msgspec.Struct, frozen=True):
-    # Eight hexadecimal digits.
+class _ConfigurationDocument(msgspec.Struct, frozen=True):
+    # A number of eight hexadecimal digits.
     version: str
     resources: tuple[_Resource, ...] = ()
 
@@ -80,21 +80,24 @@
 
 
 def decode_catalog(content: bytes) -> Result[Catalog, MalformedSourceError]:
-    """Return the catalog of a configuration row, or what is wrong with it."""
+    """Decode the content of the configuration row.
+
+    An error tells what is wrong with it.
+    """
     try:
-        return Ok(_decode(content))
+        return Ok(_decode_document(content))
     except (msgspec.DecodeError, ValueError) as error:
         return Err(MalformedSourceError('configuration', str(error)))
 
 
-def _decode(content: bytes) -> Catalog:
-    document = msgspec.json.decode(content, type=_Document)
+def _decode_document(content: bytes) -> Catalog:
+    document = msgspec.json.decode(content, type=_ConfigurationDocument)
     by_kind: dict[str, list[_Resource]] = {}
     for resource in document.resources:
         by_kind.setdefault(resource.resource_kind, []).append(resource)
     limits = by_kind.get('limits', [])
     return Catalog(
-        version=int(document.version, _HEXADECIMAL),
+        version=int(document.version, _HEXADECIMAL_BASE),
         routes=tuple(map(_decode_route, by_kind.get('routes', ()))),
         pools=tuple(map(_decode_pool, by_kind.get('services', ()))),
         customers=tuple(map(_decode_customer, by_kind.get('tenants', ()))),
@@ -103,7 +106,7 @@
 
 
 def _decode_route(resource: _Resource) -> RouteRule:
-    spec = _read(resource, _RouteSpec)
+    spec = _decode_spec(resource, _RouteSpec)
     return RouteRule(
         name=resource.metadata.name,
         host=spec.host,
@@ -127,7 +130,7 @@
 
 
 def _decode_pool(resource: _Resource) -> PoolRule:
-    spec = _read(resource, _ServiceSpec)
+    spec = _decode_spec(resource, _ServiceSpec)
     return PoolRule(
         name=resource.metadata.name,
         cold_s=spec.cold_start_s,
@@ -137,7 +140,7 @@
 
 
 def _decode_customer(resource: _Resource) -> CustomerRule:
-    spec = _read(resource, _TenantSpec)
+    spec = _decode_spec(resource, _TenantSpec)
     return CustomerRule(
         name=resource.metadata.name,
         key_digests=frozenset(map(digest_key, spec.api_keys or ())),
@@ -149,7 +152,7 @@
 
 
 def _decode_limits(resource: _Resource) -> RequestLimits:
-    spec = _read(resource, _LimitsSpec)
+    spec = _decode_spec(resource, _LimitsSpec)
     return RequestLimits(
         header_bytes=spec.max_header_bytes,
         body_bytes=spec.max_body_bytes,
@@ -158,6 +161,6 @@
     )
 
 
-def _read(resource: _Resource, spec: type[_Spec]) -> _Spec:
+def _decode_spec(resource: _Resource, spec: type[_Spec]) -> _Spec:
     decoded: Any = msgspec.json.decode(resource.spec, type=spec)
     return decoded  # type: ignore[no-any-return]
--- a/crocusshunt/platform/_rows.py
+++ b/crocusshunt/platform/_rows.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: rows in tables, and their feeds."""
+"""Client of the platform's store: tables of rows, and their change feeds."""
 
 import asyncio
 from base64 import b64decode, b64encode
@@ -23,15 +23,21 @@
 _STATUS_GONE = 410
 _MILLISECONDS = 1000
 _PAGE_ROWS = 500
-_END_OF_KEY = '\0'
+# Appended to a key, it gives the next possible one in the order of keys.
+_KEY_SUCCESSOR_SUFFIX = '\0'
 _CALL_TIMEOUT_S = 1.5
-# Both services of the store and its feeds are used by a few calls at once.
+# Only a few calls run at the same time, for reads, writes and feeds together.
 _MAX_CONNECTIONS = 8
-_IDLE_S = 20
+_KEEPALIVE_S = 20
 
 
 class _WireRow(msgspec.Struct, frozen=True):
-    """A row as the store sends it; ``ver`` counts all its transactions."""
+    """A row as the store sends it.
+
+    :param value: content of the row in base64.
+    :param ver: version of the store, the number of its transactions, at the
+        last change of the row.
+    """
 
     key: str
     value: str = ''
@@ -65,10 +71,10 @@
 
 
 class RowStoreClient:
-    """Speaks to the store over HTTP; owns its connections."""
+    """HTTP client of the store, with its own pool of connections."""
 
     def __init__(self, address: str) -> None:
-        """Prepare; connections open on first use.
+        """Prepare a client; connections are opened on first use.
 
         :param address: ``ip:port`` of the store.
         """
@@ -76,7 +82,10 @@
         self._session: aiohttp.ClientSession | None = None
 
     def redirect(self, address: str) -> None:
-        """Use the store at another address from now on."""
+        """Use the store at another address from now on.
+
+        :param address: ``ip:port`` of the store.
+        """
         self._url = f'http://{address}'
 
     async def close(self) -> None:
@@ -87,8 +96,9 @@
     async def read_table(self, table: str) -> Result[Changes, FeedError]:
         """Return all rows of a table.
 
-        Later pages may be newer than the first; the feed, resumed from the
-        first page's version, brings what they miss.
+        The table is read in pages, of which later ones may be newer than the
+        first. The version returned is that of the first page, so that a feed
+        resumed from it returns all changes made since.
         """
         rows: list[Row] = []
         version = -1
@@ -105,7 +115,7 @@
             version = page.ver if version < 0 else version
             if not page.has_more or not page.rows:
                 return Ok(Changes(tuple(rows), version))
-            start = page.rows[-1].key + _END_OF_KEY
+            start = page.rows[-1].key + _KEY_SUCCESSOR_SUFFIX
 
     async def read_changes(
         self,
@@ -113,7 +123,10 @@
         after: int,
         wait_s: float,
     ) -> Result[Changes, FeedError]:
-        """Return what changed after a version, at the latest after a wait."""
+        """Return the changes after a version; wait for one if there is none.
+
+        :param wait_s: longest wait, in seconds.
+        """
         query = {
             'table': table,
             'after': str(after),
@@ -127,7 +140,7 @@
         return answer.map(_decode_changes)
 
     async def write(self, write: RowWrite) -> Result[None, FeedError]:
-        """Write or remove one row, whatever it held."""
+        """Write or remove one row, whatever its current content."""
         transaction = (
             _WireTransaction(remove=(_WireRemoval(write.table, write.key),))
             if write.content is None
@@ -147,7 +160,7 @@
             _CALL_TIMEOUT_S,
             body=msgspec.json.encode(transaction),
         )
-        return answer.map(_ignore)
+        return answer.map(_discard_content)
 
     async def _get(
         self,
@@ -187,7 +200,7 @@
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(
                     limit=_MAX_CONNECTIONS,
-                    keepalive_timeout=_IDLE_S,
+                    keepalive_timeout=_KEEPALIVE_S,
                     socket_factory=create_watched_socket,
                 ),
                 timeout=aiohttp.ClientTimeout(total=None),
@@ -218,7 +231,7 @@
 
 
 def _decode_row(row: _WireRow) -> Row:
-    """Decode a row; one whose value is not base64 holds no bytes."""
+    """Decode a row; a value that is not base64 becomes empty content."""
     try:
         content = b64decode(row.value, validate=True)
     except ValueError:
@@ -226,5 +239,5 @@
     return Row(row.key, content, row.ver, row.deleted)
 
 
-def _ignore(_content: bytes) -> None:
-    """Drop an answer that carries nothing but success."""
+def _discard_content(_content: bytes) -> None:
+    """Discard the content of an answer of which only the status counts."""
--- a/crocusshunt/platform/_servers.py
+++ b/crocusshunt/platform/_servers.py
@@ -1,4 +1,4 @@
-"""Entries that backend servers write of themselves, decoded."""
+"""Decoding of the entries that backend servers write about themselves."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -10,24 +10,24 @@
 _DRAINING = 'draining'
 
 
-class _About(msgspec.Struct, frozen=True):
+class _ServerInfo(msgspec.Struct, frozen=True):
     service: str
     zone: str
     slots: int
 
 
-class _Status(msgspec.Struct, frozen=True):
+class _ServerStatus(msgspec.Struct, frozen=True):
     state: str
-    # How much longer the server stays slow after its start, in seconds, as
-    # of the moment at which the entry was written.
+    # Rest of the time for which the server is slow after its start, in seconds,
+    # counted from the time at which the entry was written.
     cold_left_s: float = 0
 
 
-class _Entry(msgspec.Struct, frozen=True):
+class _ServerDocument(msgspec.Struct, frozen=True):
     address: str
-    about: _About = msgspec.field(name='info')
-    status: _Status
-    # Unix time of the server's start in milliseconds, new with each start.
+    server_info: _ServerInfo = msgspec.field(name='info')
+    status: _ServerStatus
+    # Unix time of the server's start in milliseconds, different for each start.
     born: int = 0
 
 
@@ -35,26 +35,29 @@
     name: str,
     content: bytes,
 ) -> Result[ServerEntry, MalformedSourceError]:
-    """Return the entry of a backend server, or what is wrong with it.
+    """Decode the entry of a backend server; an error tells what is wrong.
 
-    :param name: id of the server, which only the row's key tells.
+    :param name: id of the server, which is the key of the row.
     """
     try:
-        entry = msgspec.json.decode(content, type=_Entry)
+        entry = msgspec.json.decode(content, type=_ServerDocument)
     except (msgspec.DecodeError, UnicodeError) as error:
         return Err(MalformedSourceError(f'server {name}', str(error)))
-    if entry.status.state not in {_READY, _DRAINING} or entry.about.slots < 1:
-        problem = f'state {entry.status.state}, slots {entry.about.slots}'
+    if (
+        entry.status.state not in {_READY, _DRAINING}
+        or entry.server_info.slots < 1
+    ):
+        problem = f'state {entry.status.state}, slots {entry.server_info.slots}'
         return Err(MalformedSourceError(f'server {name}', problem))
     if not _is_address(entry.address):
         return Err(MalformedSourceError(f'server {name}', entry.address))
     return Ok(
         ServerEntry(
             name=name,
-            pool=entry.about.service,
+            pool=entry.server_info.service,
             address=entry.address,
-            failure_domain=entry.about.zone,
-            slots=entry.about.slots,
+            failure_domain=entry.server_info.zone,
+            slots=entry.server_info.slots,
             is_draining=entry.status.state == _DRAINING,
             cold_left_s=entry.status.cold_left_s,
             started_ms=entry.born,
--- a/crocusshunt/platform/_settings.py
+++ b/crocusshunt/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the users' platform writes for a process."""
+"""Settings file that the users' platform writes for a process of a host."""
 
 from pathlib import Path
 
@@ -16,53 +16,54 @@
 _READ_ERRORS = (OSError, msgspec.DecodeError, ValueError, LookupError)
 
 
-class _Place(msgspec.Struct, frozen=True):
+class _HostSection(msgspec.Struct, frozen=True):
     node_name: str
     ip: str
     zone: str
     region: str
 
 
-class _Network(msgspec.Struct, frozen=True):
-    # Addresses by what is served there.
+class _NetworkSection(msgspec.Struct, frozen=True):
+    # Address of each service of the host, by name of the service.
     listen: dict[str, str]
-    # First and last port that are free for traffic between our processes.
+    # First and last port reserved for traffic between the hosts' processes.
     internal_ports: tuple[int, ...]
+    # Region of each zone, that is, failure domain.
     zones: dict[str, str]
 
 
-class _Store(msgspec.Struct, frozen=True):
+class _StoreSection(msgspec.Struct, frozen=True):
     address: str
 
 
-class _Platform(msgspec.Struct, frozen=True):
-    platform: _Store
+class _PlatformSection(msgspec.Struct, frozen=True):
+    platform: _StoreSection
 
 
-class _Bounds(msgspec.Struct, frozen=True):
+class _BoundsSection(msgspec.Struct, frozen=True):
     grace_s: float = 6
     budget_ratio: float = 0.2
     budget_window_s: float = 10
-    # Retries over all machines in a window, beyond the ratio.
+    # Retries of all hosts together in a window, beyond the ratio.
     budget_extra: float = 60
     ttl_max_s: float = 5
 
 
-class _Terms(msgspec.Struct, frozen=True):
-    bounds: _Bounds = _Bounds()
+class _TermsSection(msgspec.Struct, frozen=True):
+    bounds: _BoundsSection = _BoundsSection()
 
 
-class _Document(msgspec.Struct, frozen=True):
-    me: _Place = msgspec.field(name='self')
-    network: _Network
-    platform: _Platform
-    terms: _Terms = _Terms()
+class _SettingsDocument(msgspec.Struct, frozen=True):
+    own_host: _HostSection = msgspec.field(name='self')
+    network: _NetworkSection
+    platform: _PlatformSection
+    terms: _TermsSection = _TermsSection()
 
 
 def read_front_settings(
     path: Path,
 ) -> Result[FrontSettings, MalformedSourceError]:
-    """Return the settings of this process, or what is wrong with them."""
+    """Read the settings of this process; an error tells what is wrong."""
     try:
         return Ok(_decode(path.read_bytes()))
     except _READ_ERRORS as error:
@@ -70,21 +71,21 @@
 
 
 def _decode(content: bytes) -> FrontSettings:
-    decoded = msgspec.json.decode(content, type=_Document)
-    me = decoded.me
-    network = decoded.network
-    bounds = decoded.terms.bounds
+    document = msgspec.json.decode(content, type=_SettingsDocument)
+    own_host = document.own_host
+    network = document.network
+    bounds = document.terms.bounds
     return FrontSettings(
-        name=me.node_name,
-        ip=me.ip,
-        region=me.region,
-        failure_domain=me.zone,
+        name=own_host.node_name,
+        ip=own_host.ip,
+        region=own_host.region,
+        failure_domain=own_host.zone,
         front_address=network.listen['front'],
         ready_address=network.listen['ready'],
         directory_address=network.listen['directory'],
         internal_port=network.internal_ports[0],
         regions=network.zones,
-        store_address=decoded.platform.platform.address,
+        store_address=document.platform.platform.address,
         limits=DeploymentLimits(
             grace_s=bounds.grace_s,
             retry_ratio=bounds.budget_ratio,
--- a/crocusshunt/platform/_names.py
+++ b/crocusshunt/platform/_source_format.py
@@ -1,4 +1,4 @@
-"""Names of headers and tables on the users' platform."""
+"""Headers, tables and row formats of the users' platform."""
 
 from crocusshunt.front import HeaderNames, SourceFormat, TableNames
 from crocusshunt.platform._configuration import decode_catalog
@@ -7,20 +7,21 @@
 _HEADERS = HeaderNames(
     request_id='X-Crocusshunt-Attempt-Id',
     deadline_ms='X-Crocusshunt-Deadline-Remaining',
-    # A cookie, not a header.
+    # The name of a cookie, not of a header.
     affinity_cookie='X-Crocusshunt-Affinity-Key',
     customer='X-Crocusshunt-Tenant',
     expected_server='X-Crocusshunt-Expected-Instance',
-    # "running,waiting,slots" of the server that answers.
+    # Load of the server that answers: "running,waiting,slots".
     load='X-Crocusshunt-Backend-Load',
     not_run='X-Crocusshunt-Not-Executed',
-    # Shows that the bytes are a backend server's own answer.
+    # Marks an answer as sent by a backend server itself.
     signature='X-Crocusshunt-Response-Seal',
     key_scheme='Token ',
 )
 
 SOURCE_FORMAT = SourceFormat(
-    # The operator's table holds the configuration and emptied zones.
+    # The operator's table "op" holds the configuration and the zones, that is
+    # failure domains, whose servers get no requests.
     tables=TableNames(configuration='op', servers='servers', hosts='hosts'),
     headers=_HEADERS,
     configuration_key='config',
--- a/crocusshunt/platform/tests/test_decoding.py
+++ b/crocusshunt/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""Settings, configuration and entries, good and bad."""
+"""Decoding of valid and malformed settings, configurations and entries."""
 
 import json
 from pathlib import Path
@@ -82,7 +82,7 @@
     return json.dumps(content).encode()
 
 
-def test_configuration_is_decoded_once_into_a_catalog() -> None:
+def test_configuration_is_decoded_into_a_catalog() -> None:
     catalog = decode_catalog(_encode(_CONFIGURATION)).unwrap()
     index = CatalogIndex(catalog)
     route = index.match('a.example', '/a/b')
@@ -116,11 +116,11 @@
         ),
     ],
 )
-def test_unreadable_configuration_is_a_typed_error(content: bytes) -> None:
+def test_malformed_configuration_is_a_typed_error(content: bytes) -> None:
     assert decode_catalog(content).unwrap_err().subject == 'configuration'
 
 
-def test_entry_of_a_server() -> None:
+def test_entry_of_a_server_is_decoded() -> None:
     entry = decode_server('i-1', _encode(_ENTRY)).unwrap()
     assert (entry.name, entry.pool, entry.slots) == ('i-1', 's1', 5)
     assert (entry.started_ms, entry.cold_left_s) == (17, 1.5)
@@ -137,14 +137,14 @@
         {'status': None},
     ],
 )
-def test_entry_of_another_writer_names_no_server(
+def test_malformed_entry_is_a_typed_error(
     changed: dict[str, object],
 ) -> None:
     decoded = decode_server('i-1', _encode({**_ENTRY, **changed}))
     assert decoded.unwrap_err().subject == 'server i-1'
 
 
-def test_settings_file(tmp_path: Path) -> None:
+def test_settings_file_is_read(tmp_path: Path) -> None:
     path = tmp_path / 'node.json'
     path.write_bytes(_encode(_SETTINGS))
     settings = read_front_settings(path).unwrap()
--- a/crocusshunt/platform/tests/test_rows.py
+++ b/crocusshunt/platform/tests/test_rows.py
@@ -1,4 +1,4 @@
-"""The client of the store, against the stand-in."""
+"""The client of the store, against a stand-in of the store."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -15,11 +15,11 @@
 from crocusshunt.platform import RowStoreClient
 from crocusshunt.standin import FeedStoreApplication, MemoryFeedStore
 
-Served = tuple[MemoryFeedStore, RowStoreClient]
+StoreAndClient = tuple[MemoryFeedStore, RowStoreClient]
 
 
 @pytest.fixture
-async def served() -> AsyncIterator[Served]:
+async def store_and_client() -> AsyncIterator[StoreAndClient]:
     store = MemoryFeedStore()
     runner = web.AppRunner(FeedStoreApplication(store).create())
     await runner.setup()
@@ -31,8 +31,10 @@
     await runner.cleanup()
 
 
-async def test_table_of_several_pages_is_read_whole(served: Served) -> None:
-    store, client = served
+async def test_table_of_several_pages_is_read_completely(
+    store_and_client: StoreAndClient,
+) -> None:
+    store, client = store_and_client
     for number in range(1100):
         store.put('servers', f's{number:04}', b'x')
     store.put('op', 'config', b'y')
@@ -41,27 +43,29 @@
     assert changes.version == 1101
 
 
-async def test_feed_answers_as_soon_as_a_row_changes(served: Served) -> None:
-    store, client = served
-    asking = asyncio.create_task(client.read_changes('op', 0, wait_s=5))
+async def test_feed_answers_as_soon_as_a_row_changes(
+    store_and_client: StoreAndClient,
+) -> None:
+    store, client = store_and_client
+    pending_call = asyncio.create_task(client.read_changes('op', 0, wait_s=5))
     await asyncio.sleep(0.05)
     store.put('op', 'config', b'y')
-    changes = (await asking).unwrap()
+    changes = (await pending_call).unwrap()
     assert [(row.key, row.content) for row in changes.rows] == [
         ('config', b'y')
     ]
 
 
-async def test_removed_row_is_marked(served: Served) -> None:
-    store, client = served
+async def test_removed_row_is_marked(store_and_client: StoreAndClient) -> None:
+    store, client = store_and_client
     store.put('op', 'a', b'')
     store.remove('op', 'a')
     changes = (await client.read_changes('op', 1, wait_s=0)).unwrap()
     assert changes.rows[0].is_removed
 
 
-async def test_write_and_removal(served: Served) -> None:
-    store, client = served
+async def test_write_and_removal(store_and_client: StoreAndClient) -> None:
+    store, client = store_and_client
     (await client.write(RowWrite('hosts', 'h1', b'here'))).unwrap()
     changes = (await store.read_table('hosts')).unwrap()
     assert changes.rows[0].content == b'here'
@@ -69,8 +73,10 @@
     assert not (await store.read_table('hosts')).unwrap().rows
 
 
-async def test_lost_history_is_told_from_a_refusal(served: Served) -> None:
-    store, client = served
+async def test_lost_history_and_refusal_are_different_errors(
+    store_and_client: StoreAndClient,
+) -> None:
+    store, client = store_and_client
     store.put('op', 'a', b'')
     store.forget_history()
     lost = await client.read_changes('op', 0, wait_s=0)
@@ -80,15 +86,17 @@
     assert isinstance(refused.unwrap_err(), FeedRefusedError)
 
 
-async def test_silent_store_ends_a_call_in_time(served: Served) -> None:
-    store, client = served
+async def test_call_to_an_unresponsive_store_times_out(
+    store_and_client: StoreAndClient,
+) -> None:
+    store, client = store_and_client
     store.faults.is_silent = True
     async with asyncio.timeout(3):
         answer = await client.read_changes('op', 0, wait_s=0.1)
     assert isinstance(answer.unwrap_err(), FeedUnreachableError)
 
 
-async def test_store_that_is_not_there_is_unreachable() -> None:
+async def test_closed_port_is_unreachable() -> None:
     client = RowStoreClient('127.0.0.1:1')
     answer = await client.read_table('op')
     assert isinstance(answer.unwrap_err(), FeedUnreachableError)
