--- a/crocusshunt/catalog/__init__.py
+++ b/crocusshunt/catalog/__init__.py
@@ -1,7 +1,7 @@
-"""The configuration in force, in the form that requests are decided by."""
+"""The configuration in force, in the form used to decide on requests."""
 
 from crocusshunt.catalog._index import CatalogIndex, digest_key
-from crocusshunt.catalog._values import (
+from crocusshunt.catalog._rules import (
     Catalog,
     CustomerRule,
     PoolRule,
--- a/crocusshunt/catalog/_index.py
+++ b/crocusshunt/catalog/_index.py
@@ -1,8 +1,8 @@
-"""Look-ups in a catalog."""
+"""Indexed look-ups in a catalog."""
 
 from hashlib import blake2b
 
-from crocusshunt.catalog._values import (
+from crocusshunt.catalog._rules import (
     Catalog,
     CustomerRule,
     PoolRule,
@@ -13,7 +13,9 @@
 
 
 def digest_key(key: str) -> bytes:
-    """Return the digest under which a caller's key is kept.
+    """Return the digest by which a caller's key is stored and found.
+
+    It is unsalted BLAKE2b of 16 bytes.
 
     >>> digest_key('a') == digest_key('a'), digest_key('a') == digest_key('b')
     (True, False)
@@ -34,55 +36,64 @@
     """
 
     def __init__(self, catalog: Catalog) -> None:
-        """Index a catalog."""
+        """Build the indexes of a catalog."""
         self.catalog = catalog
         self.pools = {pool.name: pool for pool in catalog.pools}
         self.customers = {one.name: one for one in catalog.customers}
-        self._by_key = {
+        self._customers_by_key = {
             digest: one
             for one in catalog.customers
             for digest in one.key_digests
         }
-        self._urgency: dict[str, int] = {}
+        self._top_priorities: dict[str, int] = {}
         for rule in catalog.routes:
             for target in rule.targets:
-                known = self._urgency.get(target.pool, rule.priority)
-                self._urgency[target.pool] = min(known, rule.priority)
-        self._by_host: dict[str, tuple[RouteRule, ...]] = {}
-        for route in sorted(catalog.routes, key=_sort_by_prefix):
+                known = self._top_priorities.get(target.pool, rule.priority)
+                self._top_priorities[target.pool] = min(known, rule.priority)
+        self._routes_by_host: dict[str, tuple[RouteRule, ...]] = {}
+        for route in sorted(catalog.routes, key=_build_sort_key):
             host = route.host.lower()
-            self._by_host[host] = (*self._by_host.get(host, ()), route)
+            self._routes_by_host[host] = (
+                *self._routes_by_host.get(host, ()),
+                route,
+            )
 
     @property
     def has_customers(self) -> bool:
-        """Tell whether routes that are not public need a key."""
+        """Tell whether there are customers.
+
+        Without any, requests for routes that are not public need no key.
+        """
         return bool(self.customers)
 
     def match(self, host: str, target: str) -> RouteRule | None:
-        """Return the route of the longest prefix, None without one.
+        """Return the route with the longest matching prefix, None without one.
 
         :param host: value of the Host header.
-        :param target: path and query, as they came.
+        :param target: path and query of the request, not normalized.
         """
         path = target.partition('?')[0]
         name = host.partition(':')[0].lower()
-        for route in self._by_host.get(name, ()):
+        for route in self._routes_by_host.get(name, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def find_customer(self, key: str) -> CustomerRule | None:
-        """Return the customer that holds a key, None for an unknown key."""
-        return self._by_key.get(digest_key(key))
+        """Return the customer that has a key, None for an unknown key."""
+        return self._customers_by_key.get(digest_key(key))
 
     def find_top_priority(self, pool: str) -> int:
-        """Return the priority of the most urgent route to a pool."""
-        return self._urgency.get(pool, 0)
+        """Return the priority of the most urgent route to a pool.
+
+        The lowest number is the most urgent; 0 for a pool without a route.
+        """
+        return self._top_priorities.get(pool, 0)
 
     def find_pool(self, name: str) -> PoolRule:
-        """Return a pool's rule, defaults for one that is not listed."""
+        """Return a pool's rule, one with defaults if the catalog has none."""
         return self.pools.get(name) or PoolRule(name)
 
 
-def _sort_by_prefix(route: RouteRule) -> tuple[int, str]:
+def _build_sort_key(route: RouteRule) -> tuple[int, str]:
     return (-len(route.prefix), route.name)
--- a/crocusshunt/catalog/_rules.py
+++ b/crocusshunt/catalog/_rules.py
@@ -1,4 +1,4 @@
-"""Values of a configuration, whatever source it came from."""
+"""Rules of a configuration, independent of the format of its source."""
 
 from dataclasses import dataclass, field
 
@@ -8,9 +8,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A pool that gets a part of a route's requests.
+    """A pool that gets a share of a route's requests.
 
-    :param weight: part relative to the route's other targets.
+    :param weight: share relative to the route's other targets.
     """
 
     pool: str
@@ -19,16 +19,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteRule:
-    """What is allowed to the requests of one route.
+    """Rule for the requests of one route.
 
-    :param prefix: beginning of the paths, with a slash at both ends.
+    :param host: value of the Host header, without a port.
+    :param prefix: prefix of the paths, with a slash at both ends.
+    :param targets: pools that serve the route.
+    :param is_idempotent: whether a request may be sent again after a failure
+        although a server may have run it.
     :param timeout_s: longest time until the final answer, in seconds.
     :param objective_s: latency objective, in seconds.
-    :param priority: rank, 0 is the most urgent.
-    :param max_attempts: most backend servers one request may be sent to.
+    :param priority: 0 is the most urgent.
+    :param max_attempts: highest number of backend servers to which one request
+        may be sent.
     :param is_public: whether a request needs no key.
     :param is_sticky: whether requests for one object prefer one server.
-    :param home_regions: the only regions that may serve it, empty for all.
+    :param home_regions: the only regions whose servers may serve it, empty for
+        all regions.
     """
 
     name: str
@@ -47,12 +53,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolRule:
-    """How the servers of one pool are to be treated.
-
-    :param cold_s: how long a server is cold after its start, in seconds.
-    :param cold_rate: requests a second that a cold server bears, 0 for
-        any number.
-    :param max_connections: connections a server accepts from all callers.
+    """Rule for the backend servers of one pool.
+
+    :param cold_s: how long a server is cold, that is slow, after its start, in
+        seconds.
+    :param cold_rate: requests a second that a cold server can handle, 0 if it
+        is not limited.
+    :param max_connections: connections that a server accepts from all clients
+        together, 0 if not given.
     """
 
     name: str
@@ -63,13 +71,15 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerRule:
-    """Keys and limits of a customer.
+    """Keys, limits and priority of a customer.
 
-    :param key_digests: see :func:`digest_key`.
-    :param priority: rank before the routes' own, None for none.
+    :param key_digests: digests of its keys, see :func:`digest_key`.
+    :param priority: priority that takes precedence over that of the routes,
+        None if there is none.
     :param rate: requests a second over all hosts, 0 for no limit.
-    :param burst: requests at once over all hosts.
-    :param home_regions: the only regions that may serve it, empty for all.
+    :param burst: requests accepted at once over all hosts.
+    :param home_regions: the only regions whose servers may serve it, empty for
+        all regions.
     """
 
     name: str
@@ -82,7 +92,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """What a caller may send, and how long its connection may be idle."""
+    """Limits on a caller's requests and connections.
+
+    :param header_bytes: largest size of a request's headers, in bytes.
+    :param body_bytes: largest size of a request's body, in bytes.
+    :param header_timeout_s: longest time for receiving the headers, in seconds.
+    :param idle_timeout_s: longest time for which a connection may be idle, in
+        seconds.
+    """
 
     header_bytes: int = _DEFAULT_HEADER_BYTES
     body_bytes: int = _DEFAULT_BODY_BYTES
@@ -92,7 +109,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalog:
-    """One version of the whole configuration."""
+    """One version of the whole configuration.
+
+    :param version: number that increases with each change.
+    """
 
     version: int
     routes: tuple[RouteRule, ...] = ()
