--- a/crocusshunt/feeds/_follower.py
+++ b/crocusshunt/feeds/_follower.py
@@ -1,4 +1,4 @@
-"""A task that keeps the image of one table up to date."""
+"""Task that keeps a local copy of one table up to date."""
 
 import asyncio
 import logging
--- a/crocusshunt/placement/_choice.py
+++ b/crocusshunt/placement/_choice.py
@@ -77,7 +77,8 @@
     def next_slot_s(self) -> float:
         """Return the expected time until another slot is free, in seconds.
 
-        Unlike the wait, it is that of one queued request at the least.
+        Unlike :attr:`wait_s` it is never zero: even with free slots it is the
+        time until one busy slot is released, divided by the number of slots.
         """
         queue_position = max(1, self.load + 1 - self.slots)
         return queue_position / self.slots * self.slot_release_s
--- a/crocusshunt/placement/_loads.py
+++ b/crocusshunt/placement/_loads.py
@@ -40,8 +40,9 @@
 class ServerLoad:
     """Number of requests at one server.
 
-    Requests of this host are counted; those of other hosts are taken from the
-    server's last report and decay exponentially with its age.
+    Requests of this host are counted. Those of other hosts are estimated from
+    the server's last report to this or another host; the estimate decays
+    exponentially with the age of the report.
 
     :param in_flight: requests of this host that the server has not answered.
     :param reported: requests running or waiting, by this host's last report.
