--- a/crocusshunt/bench/_simulation/_fleet.py
+++ b/crocusshunt/bench/_simulation/_fleet.py
@@ -215,7 +215,7 @@
         self.network.handlers[name] = handlers
         host = SimulatedHost(name, lending, limiter, peers)
         host.tasks.append(asyncio.create_task(lending.loans.run()))
-        host.tasks.append(asyncio.create_task(lending.run_supports()))
+        host.tasks.append(asyncio.create_task(lending.run_support_collection()))
         self.hosts[name] = host
 
     def kill(self, name: str) -> None:
@@ -243,7 +243,7 @@
         return [
             name
             for name, host in self.hosts.items()
-            if host.lending.keeper.find_tenure(shard) is not None
+            if host.lending.leases.find_term(shard) is not None
         ]
 
     def stop(self) -> None:
--- a/crocusshunt/bench/membership.py
+++ b/crocusshunt/bench/membership.py
@@ -15,7 +15,7 @@
     DetectorSettings,
     MembershipAgent,
     MemberTable,
-    NewsQueue,
+    GossipQueue,
 )
 from crocusshunt.messages import (
     Body,
@@ -65,8 +65,8 @@
                 source,
             )
             # The fleet has been up for long: all is known and passed on.
-            table.hear(members)
-            table.news = NewsQueue()
+            table.merge_updates(members)
+            table.gossip = GossipQueue()
 
     async def exchange(
         self,
@@ -88,8 +88,8 @@
     async def run_second(self) -> None:
         for name, agent in self.agents.items():
             if name not in self.down:
-                await agent.probe_near()
-                await agent.probe_far()
+                await agent.probe_same_region()
+                await agent.probe_other_region()
                 if self.clock.monotonic() % _REJOIN_S == 0:
                     await agent.probe_lost()
         self.clock.advance(1)
@@ -133,7 +133,7 @@
 async def _measure_size(size: int) -> list[Measurement]:
     tracemalloc.start()
     memory_table = MemberTable(_create_member(_create_listing(1)[0]))
-    memory_table.compare_listing(_create_listing(size))
+    memory_table.merge_listing(_create_listing(size))
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     fleet = _Fleet(size)
--- a/crocusshunt/controller/_directory.py
+++ b/crocusshunt/controller/_directory.py
@@ -1,4 +1,4 @@
-"""Which hosts live, as a keeper of leases sees them."""
+"""Which hosts live, as the holder of leases sees them."""
 
 from crocusshunt.controller._peers import Peers
 from crocusshunt.core import Clock, rank_by_rendezvous
--- a/crocusshunt/controller/_leases.py
+++ b/crocusshunt/controller/_leases.py
@@ -59,7 +59,7 @@
         self._clock = clock
         self._rows: dict[str, LeaseRow] = {}
 
-    def find_tenure(self, shard: str) -> LendingTerm | None:
+    def find_term(self, shard: str) -> LendingTerm | None:
         """Return the tenure in which this host may lend now.
 
         It lasts longer than the loan that is about to be made.
@@ -116,7 +116,7 @@
         if isinstance(reachable, Err):
             return reachable
         tenancy = self.tenancies[shard]
-        tenure = self.find_tenure(shard)
+        tenure = self.find_term(shard)
         tenancy.is_releasing = True
         levels: tuple[TokenLevel, ...] = ()
         if tenure is not None:
--- a/crocusshunt/controller/_lending.py
+++ b/crocusshunt/controller/_lending.py
@@ -46,7 +46,7 @@
             context.peers,
             context.clock,
         )
-        self.keeper = LeaseManager(
+        self.leases = LeaseManager(
             context.identity,
             context.incarnation,
             directory,
@@ -55,7 +55,7 @@
         )
         self.gatherer = SupportCollector(
             context.identity.name,
-            self.keeper,
+            self.leases,
             self.witness,
             context.peers,
             context.clock,
@@ -63,7 +63,7 @@
         self.loans = LoanHandler(
             context.identity,
             context.configured,
-            self.keeper,
+            self.leases,
             directory,
             context.peers,
             context.clock,
@@ -74,7 +74,7 @@
         handlers.register(BorrowTokens)(self.loans.answer)
         handlers.register(RenewLeases)(self.witness.answer)
 
-    async def run_supports(self) -> None:
+    async def run_support_collection(self) -> None:
         """Gather witnesses' support for ever."""
         while True:
             await self.gatherer.gather()
--- a/crocusshunt/controller/_loans.py
+++ b/crocusshunt/controller/_loans.py
@@ -36,7 +36,7 @@
         self,
         identity: HostIdentity,
         tables: Callable[[], Tables],
-        keeper: LeaseManager,
+        leases: LeaseManager,
         directory: Directory,
         peers: Peers,
         clock: Clock,
@@ -44,7 +44,7 @@
         """Start with an empty ledger."""
         self._identity = identity
         self._tables = tables
-        self._keeper = keeper
+        self._leases = leases
         self._peers = peers
         self._directory = directory
         self._ledger = HomeLedger(clock)
@@ -62,7 +62,7 @@
                 borrower=self._identity.name,
             )
         shard = find_shard(customer.name)
-        tenure = self._keeper.find_tenure(shard)
+        tenure = self._leases.find_term(shard)
         if tenure is not None:
             self._inherit(shard, tenure)
             return self._lend(customer, question, tenure)
@@ -76,18 +76,18 @@
 
     async def advance(self) -> None:
         """Advance the rows that concern this host, till one call fails."""
-        await self._hand_over(self._keeper.find_displaced())
+        await self._hand_over(self._leases.find_displaced())
         shards = self._find_shards() | self._asked
         self._asked.clear()
         for wanted in sorted(shards):
-            advanced = await self._keeper.advance(wanted)
+            advanced = await self._leases.advance(wanted)
             if isinstance(advanced, Err):
                 return
 
     async def leave(self) -> None:
         """Release all leases before a planned stop."""
         self._directory.leave()
-        await self._hand_over(tuple(self._keeper.tenancies))
+        await self._hand_over(tuple(self._leases.tenancies))
 
     def measure(
         self, shard: str, tenure: LendingTerm
@@ -112,7 +112,7 @@
 
     async def _hand_over(self, shards: tuple[str, ...]) -> None:
         await asyncio.gather(
-            *(self._keeper.hand_over(one, self.measure) for one in shards),
+            *(self._leases.hand_over(one, self.measure) for one in shards),
         )
 
     def _find_shards(self) -> set[str]:
@@ -121,7 +121,7 @@
             for shard in self._group_customers()
             if self._directory.find_home(shard) == self._identity.name
         }
-        return homes | set(self._keeper.tenancies)
+        return homes | set(self._leases.tenancies)
 
     def _group_customers(self) -> defaultdict[str, list[Customer]]:
         groups: defaultdict[str, list[Customer]] = defaultdict(list)
@@ -130,7 +130,7 @@
         return groups
 
     def _inherit(self, shard: str, tenure: LendingTerm) -> None:
-        levels = self._keeper.inherited.pop(shard, ())
+        levels = self._leases.inherited.pop(shard, ())
         tokens = {level.customer: level.tokens for level in levels}
         if not tokens:
             return
@@ -171,7 +171,7 @@
         self._news.set()
         target = self._directory.find_home(shard)
         if target == self._identity.name:
-            target = self._keeper.find_holder(shard)
+            target = self._leases.find_holder(shard)
         if target is None or question.hops >= _MAX_HOPS:
             return Refusal('home-unsettled', question.customer)
         onward = msgspec.structs.replace(question, hops=question.hops + 1)
--- a/crocusshunt/controller/_service.py
+++ b/crocusshunt/controller/_service.py
@@ -67,7 +67,7 @@
         self._tasks.start(self._presence.run())
         self._tasks.start(self._shifts.run())
         self._tasks.start(self._lending.loans.run())
-        self._tasks.start(self._lending.run_supports())
+        self._tasks.start(self._lending.run_support_collection())
 
     async def stop(self) -> None:
         """Announce the stop, stop all tasks and close all sockets."""
--- a/crocusshunt/controller/_supports.py
+++ b/crocusshunt/controller/_supports.py
@@ -33,27 +33,27 @@
     def __init__(
         self,
         host: str,
-        keeper: LeaseManager,
+        leases: LeaseManager,
         parts: WitnessHandler,
         peers: Peers,
         clock: Clock,
     ) -> None:
-        """Gather for the keeper's leases.
+        """Gather support for the leases of this host.
 
         :param host: name of this host.
         :param parts: the witness that this host is itself.
         """
         self._host = host
-        self._keeper = keeper
+        self._leases = leases
         self._parts = parts
         self._peers = peers
         self._clock = clock
 
     def is_settled(self) -> bool:
         """Tell whether this host may lend for all its leases."""
-        tenancies = self._keeper.tenancies
+        tenancies = self._leases.tenancies
         return bool(tenancies) and all(
-            self._keeper.find_tenure(shard) is not None for shard in tenancies
+            self._leases.find_term(shard) is not None for shard in tenancies
         )
 
     async def gather(self) -> None:
@@ -63,13 +63,13 @@
             *(self._ask(host, one) for host, one in wanted.items()),
         )
         now = self._clock.monotonic()
-        for tenancy in self._keeper.tenancies.values():
+        for tenancy in self._leases.tenancies.values():
             tenancy.begin(now)
 
     def _collect(self) -> dict[str, _Wanted]:
         wanted: defaultdict[str, _Wanted] = defaultdict(_Wanted)
         now = self._clock.monotonic()
-        for shard, tenancy in self._keeper.tenancies.items():
+        for shard, tenancy in self._leases.tenancies.items():
             lease = LeaseEpoch(shard, tenancy.row.epoch)
             if tenancy.begin(now):
                 for host in tenancy.row.witnesses:
@@ -110,7 +110,7 @@
         return await self._peers.ask(host, question, LeasesRenewed, _TIMEOUT_S)
 
     def _find(self, shard: str, epochs: dict[str, int]) -> HeldLease | None:
-        tenancy = self._keeper.tenancies.get(shard)
+        tenancy = self._leases.tenancies.get(shard)
         # The lease may have changed hands while the answer was on its way.
         if tenancy is None or tenancy.row.epoch != epochs.get(shard):
             return None
--- a/crocusshunt/controller/tests/test_lending.py
+++ b/crocusshunt/controller/tests/test_lending.py
@@ -225,8 +225,8 @@
         await stop_holder(fleet)
         await asyncio.sleep(2)
         after = _find_lender(fleet)
-        keeper = fleet.hosts[after].lending.keeper
-        levels = keeper.inherited.get(_SHARD, ())
+        leases = fleet.hosts[after].lending.leases
+        levels = leases.inherited.get(_SHARD, ())
         fleet.stop()
         return before, after, tuple(level.tokens for level in levels)
 
--- a/crocusshunt/membership/__init__.py
+++ b/crocusshunt/membership/__init__.py
@@ -3,7 +3,7 @@
 from crocusshunt.membership._agent import MembershipAgent
 from crocusshunt.membership._detector import Detector, DetectorSettings
 from crocusshunt.membership._hosts import HostTable, list_usable
-from crocusshunt.membership._news import NewsQueue
+from crocusshunt.membership._news import GossipQueue
 from crocusshunt.membership._precedence import (
     create_entry,
     create_member,
@@ -25,11 +25,11 @@
     'Detector',
     'DetectorSettings',
     'GatewayPresence',
+    'GossipQueue',
     'HostTable',
     'MemberTable',
     'MembershipAgent',
     'MembershipService',
-    'NewsQueue',
     'SocketTransport',
     'Subjects',
     'Traffic',
--- a/crocusshunt/membership/_agent.py
+++ b/crocusshunt/membership/_agent.py
@@ -48,13 +48,13 @@
         """Tell whether another host's whole table was compared once."""
         return self._synced_s != _NEVER
 
-    async def probe_near(self) -> None:
+    async def probe_same_region(self) -> None:
         """Probe the next host of this region."""
         subject = self.detector.choose_near()
         if subject is not None:
             await self._probe(subject)
 
-    async def probe_far(self) -> None:
+    async def probe_other_region(self) -> None:
         """Probe the next host of another region."""
         subject = self.detector.choose_far()
         if subject is not None:
@@ -81,7 +81,7 @@
     async def answer_probe(self, probe: Probe) -> Body:
         """Answer a probe with the news of this host."""
         self.traffic.receive(probe)
-        self.table.hear(probe.news)
+        self.table.merge_updates(probe.news)
         return self.traffic.reply(
             ProbeAnswer(self.table.digests.whole, self._take_news())
         )
@@ -115,7 +115,7 @@
     async def _ask(self, subject: Member) -> bool:
         news = self._take_news()
         if subject.status is not MemberStatus.alive:
-            # The host has to hear what is believed of it to refute it.
+            # The host must be told what is believed about it to refute it.
             news = (*news, subject)
         answer = await self.traffic.exchange(
             subject.controller,
@@ -124,7 +124,7 @@
         )
         if not isinstance(answer, ProbeAnswer):
             return False
-        self.table.hear(answer.news)
+        self.table.merge_updates(answer.news)
         if answer.digest != self.table.digests.whole:
             await self._sync(subject)
         return True
@@ -137,7 +137,7 @@
                 _NEAR_TIMEOUT_S + _find_timeout(self.table.me, relay),
             )
             if isinstance(answer, ProbeAnswer):
-                self.table.hear(answer.news)
+                self.table.merge_updates(answer.news)
                 return True
         return False
 
@@ -153,10 +153,10 @@
         )
         if isinstance(answer, MemberList):
             self._synced_s = now_s
-            self.table.hear(answer.members)
+            self.table.merge_updates(answer.members)
 
     def _take_news(self) -> tuple[Member, ...]:
-        return self.table.news.take(len(self.table.members))
+        return self.table.gossip.take(len(self.table.members))
 
 
 def _is_staying(member: Member) -> bool:
--- a/crocusshunt/membership/_news.py
+++ b/crocusshunt/membership/_news.py
@@ -9,7 +9,7 @@
 _NEWS_LIMIT = 8
 
 
-class NewsQueue:
+class GossipQueue:
     """Beliefs to pass on, those passed on least often first, then the newest.
 
     Each is passed on a number of times that grows with the logarithm of the
@@ -18,7 +18,7 @@
     Reference: A. Das, I. Gupta, A. Motivala, "SWIM: scalable weakly
     consistent infection-style process group membership protocol", DSN 2002.
 
-    >>> queue = NewsQueue()
+    >>> queue = GossipQueue()
     >>> queue.put(Member('h1', 'addis', 'a', '', 'tcp://10.0.0.1:1'))
     >>> [member.name for member in queue.take(hosts=10)]
     ['h1']
--- a/crocusshunt/membership/_service.py
+++ b/crocusshunt/membership/_service.py
@@ -82,8 +82,8 @@
         settings = self._settings
         await asyncio.gather(
             self._repeat(self._follow_listing, _LISTING_PERIOD_S),
-            self._repeat(agent.probe_near, settings.near_period_s),
-            self._repeat(agent.probe_far, settings.far_period_s),
+            self._repeat(agent.probe_same_region, settings.near_period_s),
+            self._repeat(agent.probe_other_region, settings.far_period_s),
             self._repeat(agent.probe_lost, settings.rejoin_period_s),
         )
 
@@ -116,7 +116,7 @@
 
     async def _follow_listing(self) -> None:
         await self._listing.poll()
-        self._get_agent().table.compare_listing(self._listing.hosts)
+        self._get_agent().table.merge_listing(self._listing.hosts)
 
     def _publish(self) -> None:
         agent = self._get_agent()
--- a/crocusshunt/membership/_table.py
+++ b/crocusshunt/membership/_table.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from crocusshunt.membership._digests import PartDigests, find_part
-from crocusshunt.membership._news import NewsQueue
+from crocusshunt.membership._news import GossipQueue
 from crocusshunt.membership._precedence import create_member, merge_members
 from crocusshunt.messages import Member, MemberStatus
 from crocusshunt.store import HostEntry, HostState
@@ -19,7 +19,7 @@
     >>> me = Member('h1', 'addis', 'a', '', 'tcp://10.0.0.1:1', 5)
     >>> table = MemberTable(me)
     >>> rumour = msgspec.structs.replace(me, status=MemberStatus.dead)
-    >>> table.hear((rumour,))
+    >>> table.merge_updates((rumour,))
     >>> table.me.incarnation, table.me.status.name
     (6, 'alive')
     """
@@ -30,20 +30,20 @@
         :param me: this host, with the incarnation of this start.
         """
         self.me = me
-        self.news = NewsQueue()
+        self.gossip = GossipQueue()
         self.digests = PartDigests()
         self.changes = 0
         self._members: dict[str, Member] = {}
         self._listed: Mapping[str, HostEntry] = {}
         self._put(me)
-        self.news.put(me)
+        self.gossip.put(me)
 
     @property
     def members(self) -> Mapping[str, Member]:
         """Return all members by name, the dead included."""
         return self._members
 
-    def hear(self, news: Iterable[Member]) -> None:
+    def merge_updates(self, news: Iterable[Member]) -> None:
         """Merge what another host believes."""
         for member in news:
             if member.name == self.me.name:
@@ -69,7 +69,7 @@
             ),
         )
 
-    def compare_listing(self, hosts: tuple[HostEntry, ...]) -> None:
+    def merge_listing(self, hosts: tuple[HostEntry, ...]) -> None:
         """Merge the platform's list, which lags.
 
         What the list said before is not repeated, so an old entry does not
@@ -131,7 +131,7 @@
         merged = heard if held is None else merge_members(held, heard)
         if merged != held:
             self._put(merged)
-            self.news.put(merged)
+            self.gossip.put(merged)
 
     def _refute(self, rumour: Member) -> None:
         if merge_members(self.me, rumour) != self.me:
@@ -143,7 +143,7 @@
     def _replace_me(self, member: Member) -> None:
         self.me = member
         self._put(member)
-        self.news.put(member)
+        self.gossip.put(member)
 
     def _put(self, member: Member) -> None:
         held = self._members.get(member.name)
--- a/crocusshunt/membership/tests/network.py
+++ b/crocusshunt/membership/tests/network.py
@@ -75,7 +75,7 @@
             DetectorSettings(),
             self._source,
         )
-        table.compare_listing(self.listing)
+        table.merge_listing(self.listing)
         self.down.discard(entry.name)
 
     async def run(self, seconds: int) -> None:
@@ -118,8 +118,8 @@
         return Ok(await agent.list_members(body))
 
     async def _probe(self, agent: MembershipAgent) -> None:
-        await agent.probe_near()
-        await agent.probe_far()
+        await agent.probe_same_region()
+        await agent.probe_other_region()
         if int(self.clock.monotonic()) % _REJOIN_ROUNDS == 0:
             await agent.probe_lost()
 
--- a/crocusshunt/membership/tests/test_membership.py
+++ b/crocusshunt/membership/tests/test_membership.py
@@ -154,8 +154,8 @@
     await network.run(20)
     short = tuple(host for host in listing if host.name != 'b2')
     for agent in network.agents.values():
-        agent.table.compare_listing(short)
-        agent.table.compare_listing(())
+        agent.table.merge_listing(short)
+        agent.table.merge_listing(())
     await network.run(5)
     assert 'a1' not in network.list_live('b0')
     assert 'b2' in network.list_live('a0')
@@ -166,11 +166,11 @@
     entry = create_listing('ab', 1)[1]
     leaving = replace(entry, state=HostState.leaving)
     table = MemberTable(_ME)
-    table.compare_listing((leaving,))
+    table.merge_listing((leaving,))
     assert table.members['b0'].is_leaving
     restarted = Member('b0', 'b', 'b-0', 'http://b0', 'tcp://b0', 9)
-    table.hear((restarted,))
-    table.compare_listing((leaving,))
+    table.merge_updates((restarted,))
+    table.merge_listing((leaving,))
     assert not table.members['b0'].is_leaving
 
 
@@ -178,7 +178,7 @@
     """The table does not grow with every host that ever was."""
     first, second = create_listing('ab', 1)
     table = MemberTable(_ME)
-    table.compare_listing((first, second))
+    table.merge_listing((first, second))
     table.accuse('b0', MemberStatus.unreachable)
-    table.compare_listing((first,))
+    table.merge_listing((first,))
     assert set(table.members) == {'a0'}
