--- a/crocusshunt/api/_endpoints.py
+++ b/crocusshunt/api/_endpoints.py
@@ -17,7 +17,7 @@
     Role,
     UnknownOperatorError,
 )
-from crocusshunt.replication import Archive, Feed, Origin
+from crocusshunt.replication import Archive, Feed, StorePoller
 from crocusshunt.store import Platform
 
 _STATUS_UNAUTHORIZED = 401
@@ -35,7 +35,7 @@
     platform: Platform
     repository: Repository
     feed: Feed
-    origin: Origin
+    origin: StorePoller
     archive: Archive
 
 
--- a/crocusshunt/api/_service.py
+++ b/crocusshunt/api/_service.py
@@ -24,7 +24,7 @@
     Feed,
     Follower,
     FollowerSettings,
-    Origin,
+    StorePoller,
     TestimonyCollector,
     WitnessAnnouncer,
     WitnessHandler,
@@ -51,7 +51,7 @@
         self.feed = Feed(clock)
         repository = Repository(self._platform, clock)
         self._witness = WitnessHandler(repository, clock)
-        self._origin = Origin(
+        self._origin = StorePoller(
             repository,
             self.feed,
             clock,
@@ -103,7 +103,7 @@
             platform=platform,
             repository=repository,
             feed=self.feed,
-            origin=Origin(repository, self.feed, clock, observe, archive),
+            origin=StorePoller(repository, self.feed, clock, observe, archive),
             archive=archive,
         )
 
@@ -116,7 +116,9 @@
         )
         self._tasks.start(collector.run())
         self._tasks.start(
-            self._witness.run(lambda: self.address in self.feed.seats),
+            self._witness.run(
+                lambda: self.address in self.feed.witness_addresses
+            ),
         )
         if parts.settings.api.peers:
             follower = Follower(
--- a/crocusshunt/api/_state.py
+++ b/crocusshunt/api/_state.py
@@ -17,7 +17,7 @@
 async def show_status(call: Call) -> web.Response:
     """Return the state of this process."""
     feed = call.parts.feed
-    age = feed.measure_age()
+    age = feed.measure_evidence_age()
     return json_response(
         StatusDocument(
             host=call.parts.settings.host.name,
--- a/crocusshunt/api/tests/test_witnesses.py
+++ b/crocusshunt/api/tests/test_witnesses.py
@@ -96,7 +96,7 @@
 
 def _is_vouched(feed: Feed) -> bool:
     is_loaded = feed.configuration.revision > 0
-    return is_loaded and feed.measure_age() <= _EVIDENCE_S
+    return is_loaded and feed.measure_evidence_age() <= _EVIDENCE_S
 
 
 async def test_outage_keeps_evidence_young(site: _Site) -> None:
@@ -147,5 +147,5 @@
 def _has_quorum(site: _Site, feed: Feed) -> bool:
     """Tell whether witnesses alone vouch, whatever the store says."""
     revision = feed.configuration.revision
-    age = feed._testimonies.measure_age(revision, feed.seats)
+    age = feed._testimonies.measure_age(revision, feed.witness_addresses)
     return age <= _EVIDENCE_S
--- a/crocusshunt/bench/_spread/_fleet.py
+++ b/crocusshunt/bench/_spread/_fleet.py
@@ -19,7 +19,7 @@
     Feed,
     Follower,
     FollowerSettings,
-    Origin,
+    StorePoller,
     TestimonyCollector,
     WitnessAnnouncer,
     WitnessHandler,
@@ -116,9 +116,9 @@
         parts.register(handlers)
         self._serve(address, feed, handlers)
         self._repositories.append(repository)
-        origin = Origin(repository, feed, self._clock, parts.observe)
-        self._run(origin.run())
-        self._run(parts.run(lambda: address in feed.seats))
+        poller = StorePoller(repository, feed, self._clock, parts.observe)
+        self._run(poller.run())
+        self._run(parts.run(lambda: address in feed.witness_addresses))
         self._run(TestimonyCollector(feed, pool, self._clock).run())
 
     def _serve(self, address: str, feed: Feed, handlers: Handlers) -> None:
--- a/crocusshunt/bench/configuration.py
+++ b/crocusshunt/bench/configuration.py
@@ -12,7 +12,7 @@
 from crocusshunt.configuration import Configuration, Evidence, digest_tables
 from crocusshunt.keys import Key, KeyState, digest_key
 from crocusshunt.messages import ChangeFeed, Codec
-from crocusshunt.replication import POLL_S, Feed
+from crocusshunt.replication import POLL_INTERVAL_S, Feed
 from crocusshunt.routing import Customer, FailureDomain, Row, Tables
 from crocusshunt.witnesses import Testimony, Witness
 
@@ -65,7 +65,7 @@
         return False
     if _KEY.name in feed.find_suspension().keys:
         return False
-    return feed.measure_age() <= _EVIDENCE_S
+    return feed.measure_evidence_age() <= _EVIDENCE_S
 
 
 async def _measure_spread(hosts: int) -> _Spread:
@@ -166,10 +166,10 @@
             )
     yield Measurement(
         'config.1800_hosts.store_reads_computed',
-        _APIS_OF_LARGE_FLEET / POLL_S,
+        _APIS_OF_LARGE_FLEET / POLL_INTERVAL_S,
         'reads/s',
         2000,
-        baseline=_HOSTS_OF_LARGE_FLEET / POLL_S,
+        baseline=_HOSTS_OF_LARGE_FLEET / POLL_INTERVAL_S,
     )
     yield Measurement(
         'config.outage_refusals',
--- a/crocusshunt/gateway/_admission.py
+++ b/crocusshunt/gateway/_admission.py
@@ -60,7 +60,7 @@
         self._keyring = Keyring(())
         self._matcher = RouteMatcher(())
         self._servers: Mapping[str, tuple[Server, ...]] = {}
-        feed.listen(self._rebuild)
+        feed.add_listener(self._rebuild)
 
     @property
     def servers(self) -> Mapping[str, tuple[Server, ...]]:
@@ -102,7 +102,7 @@
         presented = next(iter(ask.keys), '')
         if not presented:
             return Err(_refuse_key(MissingKeyError.code))
-        if self._feed.measure_age() > self._key_evidence_s:
+        if self._feed.measure_evidence_age() > self._key_evidence_s:
             return Err(
                 NotRun(
                     'key-evidence-stale',
--- a/crocusshunt/gateway/_assembly.py
+++ b/crocusshunt/gateway/_assembly.py
@@ -43,7 +43,7 @@
     """Return a dispatcher that follows the configuration in force."""
     state = ServerState(ServerLoads(), OutlierDetector(policy.ejection))
     split = RegionSplit(context.region)
-    context.feed.listen(split.follow)
+    context.feed.add_listener(split.follow)
     picker = ServerPicker(
         context.admission_control,
         state,
--- a/crocusshunt/locator/_service.py
+++ b/crocusshunt/locator/_service.py
@@ -44,7 +44,7 @@
             clock,
         )
         self.lookups = Lookups(self.hosts, settings.locator.lifetime_s)
-        self.feed.listen(self.lookups.accept)
+        self.feed.add_listener(self.lookups.accept)
 
     def create_application(self) -> web.Application:
         """Return the look-up application."""
--- a/crocusshunt/replication/__init__.py
+++ b/crocusshunt/replication/__init__.py
@@ -3,7 +3,7 @@
 from crocusshunt.replication._archive import SNAPSHOT_NAME, Archive
 from crocusshunt.replication._feed import Feed
 from crocusshunt.replication._follower import Follower, FollowerSettings
-from crocusshunt.replication._origin import POLL_S, Origin
+from crocusshunt.replication._origin import POLL_INTERVAL_S, StorePoller
 from crocusshunt.replication._witnessing import (
     TestimonyCollector,
     WitnessAnnouncer,
@@ -11,13 +11,13 @@
 )
 
 __all__ = (
-    'POLL_S',
+    'POLL_INTERVAL_S',
     'SNAPSHOT_NAME',
     'Archive',
     'Feed',
     'Follower',
     'FollowerSettings',
-    'Origin',
+    'StorePoller',
     'TestimonyCollector',
     'WitnessAnnouncer',
     'WitnessHandler',
--- a/crocusshunt/replication/_feed.py
+++ b/crocusshunt/replication/_feed.py
@@ -34,20 +34,22 @@
         self._listeners: list[Listener] = []
         self._news = asyncio.Event()
         self._testimonies = QuorumLog(clock)
-        self.seats: frozenset[str] = frozenset()
+        self.witness_addresses: frozenset[str] = frozenset()
 
     @property
     def configuration(self) -> Configuration:
         """Return the configuration in force."""
         return self._history.configuration
 
-    def measure_age(self) -> float:
+    def measure_evidence_age(self) -> float:
         """Return the age in seconds of the evidence for what is held.
 
         The evidence is the store's or that of a quorum of witnesses.
         """
         revision = self.configuration.revision
-        quorum_age = self._testimonies.measure_age(revision, self.seats)
+        quorum_age = self._testimonies.measure_age(
+            revision, self.witness_addresses
+        )
         return min(self.evidence.measure_age(revision), quorum_age)
 
     def find_suspension(self, within_s: float = _RECENT_S) -> Suspension:
@@ -64,7 +66,7 @@
         """Tell whether a witness knows of a newer revision."""
         return self._testimonies.find_newest() > self.configuration.revision
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Call a function with each new configuration."""
         self._listeners.append(listener)
 
@@ -152,7 +154,7 @@
         if self.configuration.revision == before:
             return
         witnesses = self.configuration.tables.select(Witness)
-        self.seats = frozenset(one.address for one in witnesses)
+        self.witness_addresses = frozenset(one.address for one in witnesses)
         for listener in self._listeners:
             listener(self.configuration)
         self._news.set()
--- a/crocusshunt/replication/_origin.py
+++ b/crocusshunt/replication/_origin.py
@@ -12,14 +12,14 @@
 from crocusshunt.replication._archive import Archive
 from crocusshunt.replication._feed import Feed
 
-POLL_S = 0.5
+POLL_INTERVAL_S = 0.5
 
 
 def _ignore(head: Head) -> None:
     """Take no note of a head."""
 
 
-class Origin:
+class StorePoller:
     """Task that reads the head of the chain and the changes behind it."""
 
     def __init__(
@@ -45,7 +45,7 @@
         """Poll for ever, with jitter."""
         while True:
             await self.poll()
-            await asyncio.sleep(POLL_S * (0.5 + random.random()))
+            await asyncio.sleep(POLL_INTERVAL_S * (0.5 + random.random()))
 
     async def poll(self) -> bool:
         """Read the store once; return whether all of it was read.
--- a/crocusshunt/replication/_witnessing.py
+++ b/crocusshunt/replication/_witnessing.py
@@ -126,7 +126,7 @@
     async def run(self) -> None:
         """Ask all witnesses for ever."""
         while True:
-            await self.collect(self._feed.seats)
+            await self.collect(self._feed.witness_addresses)
             await asyncio.sleep(_ASK_EVERY_S * (0.5 + random.random()))
 
     async def collect(self, addresses: Iterable[str]) -> None:
--- a/crocusshunt/replication/tests/test_archive.py
+++ b/crocusshunt/replication/tests/test_archive.py
@@ -14,7 +14,7 @@
 )
 from crocusshunt.core import ManualClock
 from crocusshunt.messages import ChangeFeed, FetchChanges, SnapshotFeed
-from crocusshunt.replication import SNAPSHOT_NAME, Archive, Feed, Origin
+from crocusshunt.replication import SNAPSHOT_NAME, Archive, Feed, StorePoller
 from crocusshunt.routing import Pool
 from crocusshunt.standin import MemoryPlatform
 
@@ -39,7 +39,7 @@
     repository = Repository(store, clock)
     feed = Feed(clock)
     archive = Archive(store, repository)
-    assert await Origin(repository, feed, clock, archive=archive).poll()
+    assert await StorePoller(repository, feed, clock, archive=archive).poll()
     return feed
 
 
--- a/crocusshunt/replication/tests/test_outage.py
+++ b/crocusshunt/replication/tests/test_outage.py
@@ -93,7 +93,7 @@
         asked_at = clock.monotonic()
         clock.advance(1)
         _collect(feed, witnesses, asked_at)
-        assert feed.measure_age() <= _EVIDENCE_S
+        assert feed.measure_evidence_age() <= _EVIDENCE_S
 
 
 def test_minority_fails_closed() -> None:
@@ -105,7 +105,7 @@
     for _ in range(_BOUND_S):
         clock.advance(1)
         _collect(feed, alone, clock.monotonic())
-    assert feed.measure_age() > _EVIDENCE_S
+    assert feed.measure_evidence_age() > _EVIDENCE_S
 
 
 def test_killed_writer_suspends_only_what_it_named() -> None:
@@ -116,7 +116,7 @@
     for address in _SEATS[1:]:
         witnesses[address].record(announced, clock.monotonic()).unwrap()
     _collect(feed, witnesses, clock.monotonic())
-    assert feed.measure_age() == 0
+    assert feed.measure_evidence_age() == 0
     assert feed.find_suspension().keys == {'court'}
     assert feed.find_suspension().servers == {'s1'}
     log = witnesses[_SEATS[1]]
@@ -160,7 +160,7 @@
         pause = source.random()
         clock.advance(pause)
         true_time.advance(pause)
-        is_honoured = feed.measure_age() <= _EVIDENCE_S
+        is_honoured = feed.measure_evidence_age() <= _EVIDENCE_S
         is_suspended = 'court' in feed.find_suspension().keys
         if true_time.monotonic() - accepted_at > _BOUND_S:
             assert is_suspended or not is_honoured
@@ -193,7 +193,7 @@
     started.accept_testimonies(answer.testimonies, asked_at)
     started.accept_changes(answer.changes, answer.evidence, asked_at)
     assert started.configuration == peer.configuration
-    assert started.measure_age() == 2
+    assert started.measure_evidence_age() == 2
 
 
 async def test_host_started_from_a_peer_that_is_behind() -> None:
@@ -204,7 +204,7 @@
         witnesses[address].observe(2, version=3)
     _collect(peer, witnesses, clock.monotonic())
     assert peer.is_behind()
-    assert peer.measure_age() == _FAR
+    assert peer.measure_evidence_age() == _FAR
 
 
 async def test_revision_never_falls() -> None:
