--- a/crocusshunt/gateway/_assembly.py
+++ b/crocusshunt/gateway/_assembly.py
@@ -46,7 +46,7 @@
         ServerLoads(), OutlierDetector(policy.ejection)
     )
     split = RegionSplit(context.region)
-    context.feed.listen(split.apply_configuration)
+    context.feed.add_listener(split.apply_configuration)
     picker = ServerPicker(
         context.admission_control,
         statistics,
--- a/crocusshunt/locator/_service.py
+++ b/crocusshunt/locator/_service.py
@@ -55,7 +55,7 @@
             clock,
         )
         self.resolver = LookupResolver(self.hosts, settings.locator.lifetime_s)
-        self.feed.listen(self.resolver.apply_configuration)
+        self.feed.add_listener(self.resolver.apply_configuration)
 
     def create_application(self) -> web.Application:
         """Return the HTTP application with the look-up endpoint."""
