--- a/crocusshunt/audit/_trail.py
+++ b/crocusshunt/audit/_trail.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from crocusshunt.configuration import GENESIS_DIGEST, Change, seal_change
+from crocusshunt.configuration import GENESIS_DIGEST, Change, attach_digest
 from crocusshunt.core import CrocusError, Fault
 
 
@@ -92,7 +92,7 @@
         that was computed anew, go unnoticed.
 
     >>> first = Change(1, 'c1', 'mina', 'first', 0, (), GENESIS_DIGEST)
-    >>> first = seal_change(first)
+    >>> first = attach_digest(first)
     >>> verify_trail((first,)).unwrap().revision
     1
     >>> verify_trail((first,), head=GENESIS_DIGEST).is_err()
@@ -129,5 +129,5 @@
         yield Fault(place, f'out of order: it stands after {revision}')
     elif record.previous != digest:
         yield Fault(place, 'does not continue the record before it')
-    if seal_change(record).digest != record.digest:
+    if attach_digest(record).digest != record.digest:
         yield Fault(place, 'was altered: its content has another digest')
--- a/crocusshunt/audit/tests/test_trail.py
+++ b/crocusshunt/audit/tests/test_trail.py
@@ -6,7 +6,12 @@
 from hypothesis import strategies as st
 
 from crocusshunt.audit import encode_record, read_trail, verify_trail
-from crocusshunt.configuration import GENESIS_DIGEST, Change, Edit, seal_change
+from crocusshunt.configuration import (
+    GENESIS_DIGEST,
+    Change,
+    Edit,
+    attach_digest,
+)
 
 _LENGTH = 6
 
@@ -16,7 +21,7 @@
     records = []
     for revision in range(1, _LENGTH + 1):
         edit = Edit('pool', f'p{revision}', None, '{}')
-        record = seal_change(
+        record = attach_digest(
             Change(
                 revision,
                 f'c{revision}',
@@ -62,7 +67,7 @@
     changed = replace(record, author=author, reason='other')
     altered[position] = changed
     assert verify_trail(altered).is_err()
-    altered[position] = seal_change(changed)
+    altered[position] = attach_digest(changed)
     assert verify_trail(altered, _HEAD).is_err()
 
 
--- a/crocusshunt/bench/capacity.py
+++ b/crocusshunt/bench/capacity.py
@@ -17,8 +17,8 @@
     Edit,
     Evidence,
     apply_change,
+    attach_digest,
     encode_row,
-    seal_change,
 )
 from crocusshunt.messages import (
     ChangeFeed,
@@ -174,7 +174,7 @@
     for number in range(_CHANGES):
         server = _create_server(number)
         text = encode_row(server)
-        change = seal_change(
+        change = attach_digest(
             Change(
                 revision=held.revision + number + 1,
                 change_id=f'change-{number}',
--- a/crocusshunt/configuration/__init__.py
+++ b/crocusshunt/configuration/__init__.py
@@ -6,7 +6,7 @@
     Change,
     Configuration,
     apply_change,
-    seal_change,
+    attach_digest,
 )
 from crocusshunt.configuration._errors import (
     BrokenChainError,
@@ -23,7 +23,7 @@
     UnknownOutcomeError,
     UnreachableStoreError,
 )
-from crocusshunt.configuration._evidence import Evidence, EvidenceLog
+from crocusshunt.configuration._evidence import Evidence, EvidenceTracker
 from crocusshunt.configuration._history import History
 from crocusshunt.configuration._records import Head
 from crocusshunt.configuration._repository import Repository
@@ -54,7 +54,7 @@
     'Edit',
     'EditRequest',
     'Evidence',
-    'EvidenceLog',
+    'EvidenceTracker',
     'GENESIS_DIGEST',
     'Head',
     'History',
@@ -68,6 +68,7 @@
     'UnknownOutcomeError',
     'UnreachableStoreError',
     'apply_change',
+    'attach_digest',
     'decode_row',
     'decode_snapshot',
     'describe_change',
@@ -76,5 +77,4 @@
     'encode_snapshot',
     'list_rows',
     'prepare_change',
-    'seal_change',
 )
--- a/crocusshunt/configuration/_changes.py
+++ b/crocusshunt/configuration/_changes.py
@@ -49,11 +49,11 @@
     tables: Tables = field(default_factory=Tables)
 
 
-def seal_change(change: Change) -> Change:
+def attach_digest(change: Change) -> Change:
     """Return a change with the digest of its content.
 
     >>> change = Change(1, 'c1', 'mina', 'first', 0, (), GENESIS_DIGEST)
-    >>> len(seal_change(change).digest)
+    >>> len(attach_digest(change).digest)
     64
     """
     content = msgspec.json.encode(replace(change, digest=''), order='sorted')
@@ -71,7 +71,7 @@
     follows = held.revision + 1 == change.revision
     if not follows or change.previous != held.digest:
         return Err(BrokenChainError(held.revision, change.revision))
-    if seal_change(change).digest != change.digest:
+    if attach_digest(change).digest != change.digest:
         return Err(BrokenChainError(held.revision, change.revision))
     tables = apply_edits(held.tables, change.edits)
     return tables.map(
--- a/crocusshunt/configuration/_evidence.py
+++ b/crocusshunt/configuration/_evidence.py
@@ -17,7 +17,7 @@
     age: float
 
 
-class EvidenceLog:
+class EvidenceTracker:
     """Keeps the youngest evidence, counted on the local clock only.
 
     Ages, never times of day, travel between hosts; each hop adds the time
@@ -26,10 +26,10 @@
 
     >>> from crocusshunt.core import ManualClock
     >>> clock = ManualClock()
-    >>> log = EvidenceLog(clock)
-    >>> log.note(Evidence(4, 0.5), asked_at=clock.monotonic())
+    >>> tracker = EvidenceTracker(clock)
+    >>> tracker.record(Evidence(4, 0.5), asked_at=clock.monotonic())
     >>> clock.advance(1)
-    >>> log.measure_age(4)
+    >>> tracker.measure_age(4)
     1.5
     """
 
@@ -39,7 +39,7 @@
         self._revision = 0
         self._fresh_at = float('-inf')
 
-    def note(self, evidence: Evidence, asked_at: float) -> None:
+    def record(self, evidence: Evidence, asked_at: float) -> None:
         """Keep evidence if it is younger than what is held.
 
         :param asked_at: monotonic time before the question was sent.
--- a/crocusshunt/configuration/_history.py
+++ b/crocusshunt/configuration/_history.py
@@ -50,7 +50,7 @@
             self.configuration = snapshot
             self._changes.clear()
 
-    def find_since(
+    def list_changes_after(
         self,
         revision: int,
     ) -> Result[tuple[Change, ...], MissingHistoryError]:
--- a/crocusshunt/configuration/_requests.py
+++ b/crocusshunt/configuration/_requests.py
@@ -8,7 +8,7 @@
     Change,
     Configuration,
     apply_edits,
-    seal_change,
+    attach_digest,
 )
 from crocusshunt.configuration._errors import Edit, InvalidChangeError
 from crocusshunt.configuration._rows import encode_row
@@ -68,7 +68,7 @@
         edits=edits,
         previous=held.digest,
     )
-    return Ok(seal_change(change))
+    return Ok(attach_digest(change))
 
 
 def is_same_change(request: ChangeRequest, accepted: Change) -> bool:
--- a/crocusshunt/ctl/__init__.py
+++ b/crocusshunt/ctl/__init__.py
@@ -11,16 +11,16 @@
 )
 from crocusshunt.ctl._commands import (
     Arguments,
+    CommandEnvironment,
     ExitStatus,
-    Surroundings,
     run_command,
 )
 from crocusshunt.ctl._console import Console
 
 __all__ = (
     'Arguments',
+    'CommandEnvironment',
     'Console',
     'ExitStatus',
-    'Surroundings',
     'run_command',
 )
--- a/crocusshunt/ctl/_commands.py
+++ b/crocusshunt/ctl/_commands.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class CommandEnvironment:
     """What a command takes from outside.
 
     :param identifiers: source of change ids.
@@ -42,12 +42,12 @@
 
     arguments: Arguments
     client: OperatorClient
-    surroundings: Surroundings
+    environment: CommandEnvironment
 
     @property
     def console(self) -> Console:
         """Return the operator's terminal."""
-        return self.surroundings.console
+        return self.environment.console
 
 
 Command = Callable[[Context], Awaitable[ExitStatus]]
@@ -66,15 +66,15 @@
 
 async def run_command(
     arguments: Arguments,
-    surroundings: Surroundings | None = None,
+    environment: CommandEnvironment | None = None,
 ) -> int:
     """Run the command that the parsed command line names.
 
     :param arguments: result of docopt.
-    :param surroundings: the process's own terminal if None.
+    :param environment: the process's own terminal if None.
     """
     client = OperatorClient(arguments['--api'], _read_key(arguments['--key']))
-    given = surroundings or _create_surroundings()
+    given = environment or _create_surroundings()
     console = replace(given.console, is_json=bool(arguments['--json']))
     context = Context(arguments, client, replace(given, console=console))
     try:
@@ -83,9 +83,9 @@
         await client.close()
 
 
-def _create_surroundings() -> Surroundings:
+def _create_surroundings() -> CommandEnvironment:
     is_interactive = sys.stdin.isatty() and sys.stderr.isatty()
-    return Surroundings(Console(is_interactive=is_interactive))
+    return CommandEnvironment(Console(is_interactive=is_interactive))
 
 
 def _find_command(arguments: Arguments) -> Command:
--- a/crocusshunt/ctl/_proposals.py
+++ b/crocusshunt/ctl/_proposals.py
@@ -202,7 +202,7 @@
     arguments = context.arguments
     given = arguments['--change-id']
     proposal = Proposal(
-        change_id=given or context.surroundings.identifiers.create('change'),
+        change_id=given or context.environment.identifiers.create('change'),
         expected=int(arguments['--from'] or plan.document.revision),
         reason=arguments['--reason'],
         edits=plan.edits,
--- a/crocusshunt/ctl/tests/test_checks.py
+++ b/crocusshunt/ctl/tests/test_checks.py
@@ -7,7 +7,7 @@
 import pytest
 from docopt import docopt
 
-from crocusshunt.ctl import Console, Surroundings, run_command
+from crocusshunt.ctl import CommandEnvironment, Console, run_command
 from crocusshunt.programs import ctl
 from crocusshunt.standin import (
     CustomerDocument,
@@ -24,7 +24,7 @@
     output, progress = io.StringIO(), io.StringIO()
     console = Console(output=output, progress=progress)
     arguments: dict[str, Any] = docopt(ctl.__doc__ or '', list(words))
-    status = await run_command(arguments, Surroundings(console))
+    status = await run_command(arguments, CommandEnvironment(console))
     return status, output.getvalue(), progress.getvalue()
 
 
--- a/crocusshunt/demo/tests/terminal.py
+++ b/crocusshunt/demo/tests/terminal.py
@@ -10,7 +10,7 @@
 from result import Err, Result
 
 from crocusshunt.core import Identifiers, SystemClock
-from crocusshunt.ctl import Console, Surroundings, run_command
+from crocusshunt.ctl import CommandEnvironment, Console, run_command
 from crocusshunt.demo import Fleet, FleetSettings
 from crocusshunt.programs import ctl
 from crocusshunt.standin import MemoryPlatform
@@ -97,7 +97,7 @@
         )
         status = await run_command(
             docopt(ctl.__doc__, self._split(line)),
-            Surroundings(console, self._identifiers),
+            CommandEnvironment(console, self._identifiers),
         )
         self.say(f'$ crocusctl {line}\n{output.getvalue()}exit status {status}')
 
--- a/crocusshunt/gateway/tests/test_evidence.py
+++ b/crocusshunt/gateway/tests/test_evidence.py
@@ -8,8 +8,8 @@
     Configuration,
     Edit,
     Evidence,
+    attach_digest,
     encode_row,
-    seal_change,
 )
 from crocusshunt.core import ManualClock, parse_address
 from crocusshunt.gateway._admission import AdmissionControl, Ask
@@ -59,7 +59,7 @@
         for row in rows
     )
     genesis = Configuration().digest
-    change = seal_change(Change(1, 'c1', 'mina', 'first', 0, edits, genesis))
+    change = attach_digest(Change(1, 'c1', 'mina', 'first', 0, edits, genesis))
     created = Feed(clock)
     created.accept_changes((change,), Evidence(1, 0), clock.monotonic())
     return created
--- a/crocusshunt/replication/_feed.py
+++ b/crocusshunt/replication/_feed.py
@@ -9,7 +9,7 @@
     Change,
     Configuration,
     Evidence,
-    EvidenceLog,
+    EvidenceTracker,
     History,
     decode_row,
     list_rows,
@@ -29,7 +29,7 @@
 
     def __init__(self, clock: Clock) -> None:
         """Start before the first revision, without evidence."""
-        self.evidence = EvidenceLog(clock)
+        self.evidence = EvidenceTracker(clock)
         self._history = History()
         self._listeners: list[Listener] = []
         self._news = asyncio.Event()
@@ -81,7 +81,7 @@
         """
         before = self.configuration.revision
         is_applied = all(self._append(change) for change in changes)
-        self.evidence.note(evidence, asked_at)
+        self.evidence.record(evidence, asked_at)
         self._announce(before)
         return is_applied
 
@@ -101,7 +101,7 @@
         self.install(
             Configuration(snapshot.revision, snapshot.digest, tables),
         )
-        self.evidence.note(snapshot.evidence, asked_at)
+        self.evidence.record(snapshot.evidence, asked_at)
         return True
 
     def install(self, snapshot: Configuration) -> None:
@@ -130,7 +130,7 @@
         age = self.evidence.measure_age(held.revision)
         evidence = Evidence(held.revision, age)
         testimonies = self._testimonies.collect()
-        changes = self._history.find_since(question.held)
+        changes = self._history.list_changes_after(question.held)
         if isinstance(changes, Err):
             return _snapshot(held, evidence, testimonies)
         return ChangeFeed(changes.ok_value, evidence, testimonies)
--- a/crocusshunt/replication/tests/test_outage.py
+++ b/crocusshunt/replication/tests/test_outage.py
@@ -11,8 +11,8 @@
     Edit,
     Evidence,
     apply_change,
+    attach_digest,
     encode_row,
-    seal_change,
 )
 from crocusshunt.core import ManualClock
 from crocusshunt.messages import ChangeFeed, FetchChanges, SnapshotFeed
@@ -49,7 +49,7 @@
         for row in rows
     )
     genesis = Configuration().digest
-    return seal_change(Change(1, 'c1', 'mina', 'first', 0, edits, genesis))
+    return attach_digest(Change(1, 'c1', 'mina', 'first', 0, edits, genesis))
 
 
 def _create_witnesses() -> dict[str, AnnouncementLog]:
