--- a/crocusshunt/front/tests/_deployment.py
+++ b/crocusshunt/front/tests/_deployment.py
@@ -142,7 +142,8 @@
             return True
         followers = self.service._parts.followers.all  # noqa: SLF001
         return all(
-            one.image.version >= self.store.last_change(one.settings.table)
+            one.image.version
+            >= self.store.find_last_version(one.settings.table)
             for one in followers
         )
 
--- a/crocusshunt/programs/tests/site.py
+++ b/crocusshunt/programs/tests/site.py
@@ -28,7 +28,7 @@
     Server,
     find_row_table,
 )
-from crocusshunt.standin import Switches
+from crocusshunt.standin import PlatformSwitches
 from crocusshunt.store import HostEntry
 
 PROGRAMS = Path(sys.executable).parent
@@ -123,7 +123,7 @@
 
         await poll(ask, bool)
 
-    async def set_switches(self, switches: Switches) -> None:
+    async def set_switches(self, switches: PlatformSwitches) -> None:
         url = f'{self.url("standin")}/standin/switches'
         body = msgspec.json.encode(switches)
         async with self.session.put(url, data=body) as response:
--- a/crocusshunt/programs/tests/test_process_failures.py
+++ b/crocusshunt/programs/tests/test_process_failures.py
@@ -13,7 +13,7 @@
     poll,
 )
 from crocusshunt.routing import Customer
-from crocusshunt.standin import Switches
+from crocusshunt.standin import PlatformSwitches
 
 _STATUS_UNAUTHORIZED = 401
 _WITHDRAWN = Key(
@@ -96,10 +96,10 @@
 async def test_change_during_an_outage_is_not_lost_nor_doubled(
     site: Site,
 ) -> None:
-    await site.set_switches(Switches(is_down=True))
+    await site.set_switches(PlatformSwitches(is_down=True))
     refused = await site.propose('later', 1, Customer('bar', rate=1, burst=1))
     assert refused.is_err()
-    await site.set_switches(Switches())
+    await site.set_switches(PlatformSwitches())
     accepted = await poll(
         lambda: site.propose('later', 1, Customer('bar', rate=1, burst=1)),
         lambda outcome: outcome.is_ok(),
@@ -111,7 +111,7 @@
 
 async def test_lost_answer_of_the_store_is_resolved(site: Site) -> None:
     await site.set_switches(
-        Switches(lost_answers=1, lost_table='configuration-head'),
+        PlatformSwitches(lost_answers=1, lost_table='configuration-head'),
     )
     accepted = await site.propose('lost', 1, Customer('bar', rate=1, burst=1))
     assert accepted.unwrap().revision == 2
--- a/crocusshunt/standin/__init__.py
+++ b/crocusshunt/standin/__init__.py
@@ -24,7 +24,7 @@
     FeedStoreApplication,
     MemoryFeedStore,
 )
-from crocusshunt.standin._memory import MemoryPlatform, Switches
+from crocusshunt.standin._memory import MemoryPlatform, PlatformSwitches
 from crocusshunt.standin._platform import PlatformService
 from crocusshunt.standin._ports import LOOPBACK, draw_free_ports
 from crocusshunt.standin._settings import StandinSection, StandinSettings
@@ -44,11 +44,11 @@
     'MemoryFeedStore',
     'MemoryPlatform',
     'PlatformService',
+    'PlatformSwitches',
     'ReceivedRequest',
     'RunCounter',
     'StandinSection',
     'StandinSettings',
-    'Switches',
     'create_backends',
     'describe_route',
     'draw_free_ports',
--- a/crocusshunt/standin/_feeds.py
+++ b/crocusshunt/standin/_feeds.py
@@ -69,7 +69,7 @@
         self._rows.pop((table, key), None)
         self._note(table, Row(key, b'', self.version, is_removed=True))
 
-    def last_change(self, table: str) -> int:
+    def find_last_version(self, table: str) -> int:
         """Return the version of the newest change of a table."""
         versions = (
             row.version for found, row in self._history if found == table
--- a/crocusshunt/standin/_memory.py
+++ b/crocusshunt/standin/_memory.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Switches:
+class PlatformSwitches:
     """Faults of the platform.
 
     :param is_down: no call is taken.
@@ -49,7 +49,7 @@
 
     def __init__(self) -> None:
         """Start empty and without faults."""
-        self.switches = Switches()
+        self.switches = PlatformSwitches()
         self.hosts: tuple[HostEntry, ...] = ()
         self.calls = 0
         self._rows: dict[str, dict[str, StoredRow]] = {}
--- a/crocusshunt/standin/_platform.py
+++ b/crocusshunt/standin/_platform.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 from result import Err, Result
 
-from crocusshunt.standin._memory import MemoryPlatform, Switches
+from crocusshunt.standin._memory import MemoryPlatform, PlatformSwitches
 from crocusshunt.store import (
     HostEntry,
     Query,
@@ -96,7 +96,7 @@
     async def _set_switches(self, request: web.Request) -> web.Response:
         self.platform.switches = msgspec.json.decode(
             await request.read(),
-            type=Switches,
+            type=PlatformSwitches,
         )
         return json_response(self.platform.switches)
 
