--- a/crocusshunt/configuration/__init__.py
+++ b/crocusshunt/configuration/__init__.py
@@ -1,6 +1,9 @@
-"""Revisions of the configuration: changes, history and evidence."""
+"""Configuration revisions: changes, their history and their freshness."""
 
-from crocusshunt.configuration._announcing import Announcer, describe_change
+from crocusshunt.configuration._announcements import (
+    Announcer,
+    build_announcement,
+)
 from crocusshunt.configuration._changes import (
     GENESIS_DIGEST,
     Change,
@@ -32,7 +35,7 @@
     EditRequest,
     prepare_change,
 )
-from crocusshunt.configuration._rows import decode_row, encode_row
+from crocusshunt.configuration._row_encoding import decode_row, encode_row
 from crocusshunt.configuration._snapshots import (
     DamagedSnapshotError,
     decode_snapshot,
@@ -69,9 +72,9 @@
     'UnreachableStoreError',
     'apply_change',
     'attach_digest',
+    'build_announcement',
     'decode_row',
     'decode_snapshot',
-    'describe_change',
     'digest_tables',
     'encode_row',
     'encode_snapshot',
--- a/crocusshunt/configuration/_changes.py
+++ b/crocusshunt/configuration/_changes.py
@@ -1,4 +1,4 @@
-"""Changes, their hash chain, and their application."""
+"""Changes, the hash chain that links them, and their application."""
 
 from dataclasses import dataclass, field, replace
 from hashlib import sha256
@@ -12,22 +12,28 @@
     Edit,
     InvalidChangeError,
 )
-from crocusshunt.configuration._rows import decode_row
+from crocusshunt.configuration._row_encoding import decode_row
 from crocusshunt.core import Fault
 from crocusshunt.routing import Row, Tables
 
-_DIGEST_DIGITS = 64
-GENESIS_DIGEST = '0' * _DIGEST_DIGITS
+_DIGEST_HEX_DIGITS = 64
+GENESIS_DIGEST = '0' * _DIGEST_HEX_DIGITS
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
     """An accepted change, which is also its record in the audit trail.
 
+    Changes form a hash chain: each digest covers the digest of the previous
+    change, so altering an old change invalidates every later digest.
+
+    :param revision: number of the revision that the change creates, from 1.
+    :param change_id: identifier that the operator's program chose.
     :param time: when it was proposed, in seconds since the Unix epoch.
-    :param previous: digest of the change before.
-    :param digest: digest of this change and, through ``previous``, of all
-        changes before it.
+    :param previous: digest of the previous change, ``GENESIS_DIGEST`` for
+        the first.
+    :param digest: SHA-256 digest in hexadecimal of this change and, through
+        ``previous``, of all changes before it.
     """
 
     revision: int
@@ -42,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """The tables as of one revision."""
+    """The tables as of one revision.
+
+    :param digest: digest of the change that created the revision.
+    """
 
     revision: int = 0
     digest: str = GENESIS_DIGEST
@@ -50,7 +59,10 @@
 
 
 def attach_digest(change: Change) -> Change:
-    """Return a change with the digest of its content.
+    """Return a change with the digest of its content filled in.
+
+    The digest is the SHA-256 of the change as JSON with sorted fields and
+    an empty ``digest`` field.
 
     >>> change = Change(1, 'c1', 'mina', 'first', 0, (), GENESIS_DIGEST)
     >>> len(attach_digest(change).digest)
@@ -61,19 +73,22 @@
 
 
 def apply_change(
-    held: Configuration,
+    current: Configuration,
     change: Change,
 ) -> Result[Configuration, ConfigurationError | InvalidChangeError]:
     """Return the configuration after a change.
 
-    :param held: the configuration of the revision before.
+    A change is refused unless its revision and ``previous`` digest continue
+    the current configuration and its own digest matches its content.
+
+    :param current: the configuration of the previous revision.
     """
-    follows = held.revision + 1 == change.revision
-    if not follows or change.previous != held.digest:
-        return Err(BrokenChainError(held.revision, change.revision))
+    follows = current.revision + 1 == change.revision
+    if not follows or change.previous != current.digest:
+        return Err(BrokenChainError(current.revision, change.revision))
     if attach_digest(change).digest != change.digest:
-        return Err(BrokenChainError(held.revision, change.revision))
-    tables = apply_edits(held.tables, change.edits)
+        return Err(BrokenChainError(current.revision, change.revision))
+    tables = apply_edits(current.tables, change.edits)
     return tables.map(
         lambda applied: Configuration(change.revision, change.digest, applied),
     )
@@ -83,7 +98,7 @@
     tables: Tables,
     edits: tuple[Edit, ...],
 ) -> Result[Tables, InvalidChangeError]:
-    """Return tables after edits, or all rows that are not valid."""
+    """Return the tables after edits, or the faults of all invalid rows."""
     faults: list[Fault] = []
     rows: list[Row] = []
     for edit in edits:
--- a/crocusshunt/configuration/_errors.py
+++ b/crocusshunt/configuration/_errors.py
@@ -1,4 +1,4 @@
-"""Failures of reading and changing the configuration."""
+"""Errors of reading and changing the configuration."""
 
 from dataclasses import dataclass
 
@@ -9,8 +9,9 @@
 class Edit:
     """One row before and after a change, in text form.
 
-    :param before: the row replaced or removed, None where there was none.
-    :param after: the row put, None where it is removed.
+    :param before: the row that is replaced or removed, None if the edit adds
+        a row.
+    :param after: the new row, None if the edit removes the row.
     """
 
     table: str
@@ -28,10 +29,10 @@
 
 @dataclass(unsafe_hash=True)
 class BrokenChainError(ConfigurationError):
-    """A change that does not follow the revision held.
+    """A change that does not continue the hash chain of the current revision.
 
-    :param held: revision held.
-    :param offered: revision of the change.
+    :param held: revision that the process has applied.
+    :param offered: revision of the change that was refused.
     """
 
     code = 'broken-chain'
@@ -42,9 +43,9 @@
 
 @dataclass(unsafe_hash=True)
 class MissingHistoryError(ConfigurationError):
-    """Changes older than the history kept in memory.
+    """Changes were requested that are older than the history kept in memory.
 
-    :param oldest: oldest revision from which changes are kept.
+    :param oldest: oldest revision after which all changes are kept.
     """
 
     code = 'missing-history'
@@ -61,26 +62,29 @@
 
 @dataclass(unsafe_hash=True)
 class InvalidChangeError(ProposalError):
-    """A change refused by the checks; nothing was written."""
+    """A change that failed validation; nothing was written.
+
+    :param faults: every fault that the validation found.
+    """
 
     code = 'invalid-change'
 
     faults: tuple[Fault, ...]
 
     def describe(self) -> str:
-        """Return all faults, one a line."""
+        """Return all faults, one per line."""
         return '\n'.join(str(fault) for fault in self.faults)
 
 
 @dataclass(unsafe_hash=True)
 class RevisionConflictError(ProposalError):
-    """Another change came first; nothing was written.
+    """Another change was accepted first; nothing was written.
 
-    :param expected: revision that the operator had seen.
-    :param actual: revision in force.
-    :param author: author of the change that came first.
-    :param reason: reason of the change that came first.
-    :param edits: what the change that came first did.
+    :param expected: revision that the proposed change was based on.
+    :param actual: newest revision in the store.
+    :param author: author of the first change accepted after ``expected``.
+    :param reason: reason given for that change.
+    :param edits: edits of that change.
     """
 
     code = 'revision-conflict'
@@ -92,7 +96,7 @@
     edits: tuple[Edit, ...] = ()
 
     def describe(self) -> str:
-        """Return who came first, why, and which rows changed."""
+        """Return who made the other change, why, and which rows it changed."""
         rows = ', '.join(f'{edit.table} {edit.name}' for edit in self.edits)
         return (
             f'{self.code}: revision {self.actual} is in force, not '
@@ -103,7 +107,10 @@
 
 @dataclass(unsafe_hash=True)
 class UnknownOutcomeError(ProposalError):
-    """The store's answer was lost; ask again with the change id."""
+    """The store's answer was lost, so the change may have been accepted.
+
+    Proposing it again with the same change id is safe.
+    """
 
     code = 'unknown-outcome'
 
@@ -112,7 +119,11 @@
 
 @dataclass(unsafe_hash=True)
 class UnreachableStoreError(ProposalError):
-    """The store could not be read; this call wrote nothing."""
+    """The store could not be used; this call wrote nothing.
+
+    It could not be reached, or it holds changes that this process has not
+    applied yet.
+    """
 
     code = 'store-unreachable'
 
@@ -121,10 +132,10 @@
 
 @dataclass(unsafe_hash=True)
 class DivergedHistoryError(ProposalError):
-    """The store's newest revision is not the one held; nothing was written.
+    """The process's history differs from the store's; nothing was written.
 
-    :param held: revision held by the process that was asked.
-    :param actual: revision in the store.
+    :param held: revision that the process has applied.
+    :param actual: newest revision in the store.
     """
 
     code = 'history-diverged'
@@ -135,10 +146,10 @@
 
 @dataclass(unsafe_hash=True)
 class MissingQuorumError(ProposalError):
-    """Too few witnesses noted the change; nothing was written.
+    """Too few witnesses acknowledged the change; nothing was written.
 
-    :param noted: witnesses that noted it.
-    :param needed: witnesses that must.
+    :param noted: number of witnesses that acknowledged it.
+    :param needed: number of witnesses that must acknowledge it.
     """
 
     code = 'witnesses-missing'
@@ -150,10 +161,10 @@
 
 @dataclass(unsafe_hash=True)
 class ReusedChangeIdError(ProposalError):
-    """The change id stands for a different accepted change.
+    """The change id belongs to a different change that was accepted before.
 
     :param revision: revision of the accepted change.
-    :param author: its author.
+    :param author: author of the accepted change.
     """
 
     code = 'change-id-reused'
@@ -165,7 +176,11 @@
 
 @dataclass(unsafe_hash=True)
 class BusyHeadError(ProposalError):
-    """The head row kept changing without a new revision; nothing written."""
+    """Every write attempt conflicted with another one; nothing was written.
+
+    The version of the head row changed each time between its reading and
+    the conditional write, although no new revision appeared.
+    """
 
     code = 'head-busy'
 
--- a/crocusshunt/configuration/_evidence.py
+++ b/crocusshunt/configuration/_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence of how fresh a configuration is."""
+"""Evidence of how up to date a configuration is."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """Statement that a revision was the newest some seconds ago.
+    """Statement that a revision was the newest one some seconds ago.
 
-    :param revision: the revision.
+    :param revision: the revision that was the newest.
     :param age: seconds since a moment at which it was the newest.
     """
 
@@ -18,11 +18,12 @@
 
 
 class EvidenceTracker:
-    """Keeps the youngest evidence, counted on the local clock only.
+    """Keeps the most recent evidence and measures its age.
 
-    Ages, never times of day, travel between hosts; each hop adds the time
-    since before its question was sent, so clock differences between hosts
-    do not matter.
+    Hosts exchange ages, never times of day. Each host adds the time elapsed
+    on its own monotonic clock since before it sent its request, so
+    differences between the hosts' clocks do not matter and an age is never
+    understated.
 
     >>> from crocusshunt.core import ManualClock
     >>> clock = ManualClock()
@@ -37,24 +38,25 @@
         """Start without evidence."""
         self._clock = clock
         self._revision = 0
-        self._fresh_at = float('-inf')
+        self._evidence_time = float('-inf')
 
     def record(self, evidence: Evidence, asked_at: float) -> None:
-        """Keep evidence if it is younger than what is held.
+        """Keep evidence if it is more recent than the evidence kept so far.
 
-        :param asked_at: monotonic time before the question was sent.
+        :param asked_at: monotonic time in seconds before the request for
+            the evidence was sent.
         """
-        fresh_at = asked_at - evidence.age
-        if fresh_at > self._fresh_at:
-            self._fresh_at = fresh_at
+        evidence_time = asked_at - evidence.age
+        if evidence_time > self._evidence_time:
+            self._evidence_time = evidence_time
             self._revision = evidence.revision
 
-    def measure_age(self, held: int) -> float:
-        """Return the age in seconds of the evidence for a held revision.
+    def measure_age(self, revision: int) -> float:
+        """Return the age in seconds of the evidence for a revision.
 
-        :param held: revision in force here; evidence of a newer one does
-            not vouch for it.
+        :param revision: revision in force here. If the evidence is about a
+            newer revision, this one is outdated and the age is infinite.
         """
-        if self._revision > held:
+        if self._revision > revision:
             return float('inf')
-        return self._clock.monotonic() - self._fresh_at
+        return self._clock.monotonic() - self._evidence_time
--- a/crocusshunt/configuration/_history.py
+++ b/crocusshunt/configuration/_history.py
@@ -1,4 +1,4 @@
-"""Recent changes kept in memory, to serve followers."""
+"""Recent changes kept in memory for processes that follow this one."""
 
 from collections import deque
 
@@ -15,26 +15,26 @@
     MissingHistoryError,
 )
 
-KEPT_CHANGES = 1024
+MAX_KEPT_CHANGES = 1024
 
 
 class History:
-    """The configuration in force and the changes that led to it.
+    """The configuration in force and the most recent changes before it.
 
-    The revision never falls: changes only append, and a snapshot replaces
-    the configuration only by a newer one.
+    The revision never decreases: a change must continue the current
+    revision, and a snapshot is installed only if it is newer.
     """
 
     def __init__(self) -> None:
-        """Start before the first revision."""
-        self._changes: deque[Change] = deque(maxlen=KEPT_CHANGES)
+        """Start with an empty configuration, at revision 0."""
+        self._changes: deque[Change] = deque(maxlen=MAX_KEPT_CHANGES)
         self.configuration = Configuration()
 
     def append(
         self,
         change: Change,
     ) -> Result[None, ConfigurationError | InvalidChangeError]:
-        """Apply the next change; one already applied is passed over."""
+        """Apply the next change; ignore one that is already applied."""
         if change.revision <= self.configuration.revision:
             return Ok(None)
         applied = apply_change(self.configuration, change)
@@ -45,7 +45,10 @@
         return Ok(None)
 
     def install(self, snapshot: Configuration) -> None:
-        """Replace the configuration by a newer snapshot."""
+        """Replace the configuration if the snapshot is newer.
+
+        This clears the kept changes, since they lead to an older revision.
+        """
         if snapshot.revision > self.configuration.revision:
             self.configuration = snapshot
             self._changes.clear()
@@ -56,7 +59,7 @@
     ) -> Result[tuple[Change, ...], MissingHistoryError]:
         """Return the changes after a revision, oldest first.
 
-        :param revision: revision that the follower holds.
+        :param revision: revision that the follower has applied.
         """
         oldest = self.configuration.revision - len(self._changes)
         if revision < oldest:
--- a/crocusshunt/configuration/_records.py
+++ b/crocusshunt/configuration/_records.py
@@ -1,4 +1,4 @@
-"""Records of the chain of changes, as the table service holds them."""
+"""Encoding of the change chain as rows of the table service."""
 
 from dataclasses import dataclass
 from typing import TypeVar
@@ -15,9 +15,9 @@
     Write,
 )
 
-HEADS = 'configuration-head'
-CHANGES = 'configuration-change'
-CHANGE_IDS = 'configuration-change-id'
+HEAD_TABLE = 'configuration-head'
+CHANGE_TABLE = 'configuration-change'
+CHANGE_ID_TABLE = 'configuration-change-id'
 HEAD_KEY = 'head'
 _REVISION_DIGITS = 12
 
@@ -26,10 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """The newest revision.
+    """Pointer to the newest revision.
 
-    :param version: version of the head's row, for the next conditional
-        write.
+    :param digest: digest of the change that created the revision.
+    :param version: version of the head's row, on which the next write is
+        conditional.
     """
 
     revision: int = 0
@@ -38,29 +39,38 @@
 
 
 def format_revision(revision: int) -> str:
-    """Return the key of a change, in the order of revisions."""
+    """Return the key of a change's row.
+
+    Keys are padded with zeros, so that they sort in the order of revisions.
+    """
     return f'{revision:0{_REVISION_DIGITS}d}'
 
 
 def plan_writes(change: Change, head: Head) -> tuple[Write, ...]:
-    """Return the transaction that appends a change behind a head."""
+    """Return the writes of the transaction that appends a change.
+
+    The transaction is conditional on the version of the head row and on the
+    absence of the revision and of the change id.
+
+    :param head: the head that the change follows.
+    """
     key = format_revision(change.revision)
     body = msgspec.json.encode(change, order='sorted').decode()
     return (
-        plan_head(Head(change.revision, change.digest, head.version)),
-        Write(CHANGES, key, body, ABSENT),
-        Write(CHANGE_IDS, change.change_id, key, ABSENT),
+        plan_head_write(Head(change.revision, change.digest, head.version)),
+        Write(CHANGE_TABLE, key, body, ABSENT),
+        Write(CHANGE_ID_TABLE, change.change_id, key, ABSENT),
     )
 
 
-def plan_head(head: Head) -> Write:
-    """Return the write of a head over the version that it names."""
+def plan_head_write(head: Head) -> Write:
+    """Return the write of a head, conditional on the version in ``head``."""
     body = msgspec.json.encode(Head(head.revision, head.digest)).decode()
-    return Write(HEADS, HEAD_KEY, body, head.version)
+    return Write(HEAD_TABLE, HEAD_KEY, body, head.version)
 
 
 def decode_head(row: StoredRow | None) -> Result[Head, StoreError]:
-    """Return the head that a row holds; an absent row is the first one."""
+    """Return the head that a row holds, or revision 0 if there is no row."""
     if row is None:
         return Ok(Head())
     head = _decode(row, Head)
@@ -72,7 +82,7 @@
 def decode_changes(
     rows: tuple[StoredRow, ...],
 ) -> Result[tuple[Change, ...], StoreError]:
-    """Return the changes that rows hold, or the first that is damaged."""
+    """Return the changes that rows hold, or the error of the first bad row."""
     changes: list[Change] = []
     for row in rows:
         change = _decode(row, Change)
--- a/crocusshunt/configuration/_repository.py
+++ b/crocusshunt/configuration/_repository.py
@@ -1,11 +1,11 @@
-"""The configuration in the platform's table service."""
+"""Storage of the configuration in the platform's table service."""
 
 from result import Err, Ok, Result
 
-from crocusshunt.configuration._announcing import (
+from crocusshunt.configuration._announcements import (
     Announcer,
-    count_quorum,
-    describe_change,
+    build_announcement,
+    compute_quorum_size,
 )
 from crocusshunt.configuration._changes import Change, Configuration
 from crocusshunt.configuration._errors import (
@@ -19,20 +19,20 @@
     UnreachableStoreError,
 )
 from crocusshunt.configuration._records import (
-    CHANGE_IDS,
-    CHANGES,
+    CHANGE_ID_TABLE,
+    CHANGE_TABLE,
     HEAD_KEY,
-    HEADS,
+    HEAD_TABLE,
     Head,
     decode_changes,
     decode_head,
     format_revision,
-    plan_head,
+    plan_head_write,
     plan_writes,
 )
 from crocusshunt.configuration._requests import (
     ChangeRequest,
-    is_same_change,
+    is_repetition,
     prepare_change,
 )
 from crocusshunt.core import Clock
@@ -46,11 +46,11 @@
 )
 from crocusshunt.witnesses import Witness
 
-_MAX_WRITES = 3
+_MAX_WRITE_ATTEMPTS = 3
 
 
 class Repository:
-    """Reads and conditionally extends the chain of changes."""
+    """Reads the chain of changes and appends to it by conditional writes."""
 
     def __init__(
         self,
@@ -58,18 +58,18 @@
         clock: Clock,
         announcer: Announcer | None = None,
     ) -> None:
-        """Use a table service.
+        """Create a repository on a table service.
 
-        :param announcer: tells the witnesses of each change; without it no
-            change is accepted once the configuration names witnesses.
+        :param announcer: announces each change to the witnesses; without
+            it no change is accepted once the configuration names witnesses.
         """
         self._store = store
         self._clock = clock
         self._announcer = announcer
 
     async def read_head(self) -> Result[Head, StoreError]:
-        """Return the newest revision."""
-        row = await self._store.read(HEADS, HEAD_KEY)
+        """Return the head, which identifies the newest revision."""
+        row = await self._store.read(HEAD_TABLE, HEAD_KEY)
         return row.and_then(decode_head)
 
     async def read_changes(
@@ -77,15 +77,17 @@
         after: int,
     ) -> Result[tuple[Change, ...], StoreError]:
         """Return a page of the changes after a revision, oldest first."""
-        rows = await self._store.query(Query(CHANGES, format_revision(after)))
+        rows = await self._store.query(
+            Query(CHANGE_TABLE, format_revision(after)),
+        )
         return rows.and_then(decode_changes)
 
     async def find_change(
         self,
         change_id: str,
     ) -> Result[Change | None, StoreError]:
-        """Return the accepted change of an id, None where there is none."""
-        pointer = await self._store.read(CHANGE_IDS, change_id)
+        """Return the accepted change with an id, None if there is none."""
+        pointer = await self._store.read(CHANGE_ID_TABLE, change_id)
         if isinstance(pointer, Err):
             return pointer
         if pointer.ok_value is None:
@@ -96,19 +98,20 @@
         self,
         revision: int,
     ) -> Result[Change | None, StoreError]:
-        """Return the change of a revision, None where there is none."""
+        """Return the change that created a revision, None if there is none."""
         return await self._read_change(format_revision(revision))
 
     async def fence(self) -> Result[Head, StoreError]:
         """Rewrite the head row unchanged and return its new version.
 
-        Every write that was prepared against an older version is settled
-        then: it took effect before, or it never does.
+        The new version fences off all older writes: a write that was
+        conditional on an older version either took effect before or never
+        will.
         """
         before = await self.read_head()
         if isinstance(before, Err):
             return before
-        await self._store.transact((plan_head(before.ok_value),))
+        await self._store.transact((plan_head_write(before.ok_value),))
         after = await self.read_head()
         if isinstance(after, Err):
             return after
@@ -119,51 +122,59 @@
     async def propose(
         self,
         request: ChangeRequest,
-        held: Configuration,
+        current: Configuration,
     ) -> Result[Change, ProposalError]:
-        """Check and write a change.
+        """Validate, announce and write a change.
+
+        A write that conflicts with a concurrent one is attempted again, up
+        to ``_MAX_WRITE_ATTEMPTS`` times in all. A request whose change id
+        was accepted before is not written again.
 
-        :param held: the configuration of the newest revision, against
-            which the change is checked.
+        :param current: the configuration of the newest revision, against
+            which the change is validated.
         """
-        for _ in range(_MAX_WRITES):
-            ended = await self._find_end(request)
-            if ended is not None:
-                return ended
+        for _ in range(_MAX_WRITE_ATTEMPTS):
+            outcome = await self._find_previous_outcome(request)
+            if outcome is not None:
+                return outcome
             head = await self.read_head()
             if isinstance(head, Err):
                 return Err(UnreachableStoreError(request.change_id))
-            refused = await self._check_head(request, held, head.ok_value)
+            refused = await self._check_head(request, current, head.ok_value)
             if refused is not None:
                 return Err(refused)
-            ended = await self._write(request, held, head.ok_value)
-            if ended is not None:
-                return ended
+            outcome = await self._announce_and_write(
+                request,
+                current,
+                head.ok_value,
+            )
+            if outcome is not None:
+                return outcome
         return Err(BusyHeadError(request.change_id))
 
     async def _read_change(
         self,
         key: str,
     ) -> Result[Change | None, StoreError]:
-        row = await self._store.read(CHANGES, key)
+        row = await self._store.read(CHANGE_TABLE, key)
         if isinstance(row, Err):
             return row
         found = () if row.ok_value is None else (row.ok_value,)
         changes = decode_changes(found)
         return changes.map(lambda read: read[0] if read else None)
 
-    async def _find_end(
+    async def _find_previous_outcome(
         self,
         request: ChangeRequest,
     ) -> Result[Change, ProposalError] | None:
-        """Return the outcome of a change id that was accepted before."""
-        known = await self.find_change(request.change_id)
-        if isinstance(known, Err):
+        """Return the outcome of an earlier acceptance of the change id."""
+        accepted = await self.find_change(request.change_id)
+        if isinstance(accepted, Err):
             return Err(UnreachableStoreError(request.change_id))
-        change = known.ok_value
+        change = accepted.ok_value
         if change is None:
             return None
-        if is_same_change(request, change):
+        if is_repetition(request, change):
             return Ok(change)
         return Err(
             ReusedChangeIdError(
@@ -176,57 +187,61 @@
     async def _check_head(
         self,
         request: ChangeRequest,
-        held: Configuration,
+        current: Configuration,
         head: Head,
     ) -> ProposalError | None:
         if head.revision > request.expected:
             return await self._explain_conflict(request, head)
-        if held.revision < head.revision:
+        if current.revision < head.revision:
             return UnreachableStoreError(request.change_id)
-        if held.digest != head.digest:
-            return DivergedHistoryError(held.revision, head.revision)
+        if current.digest != head.digest:
+            return DivergedHistoryError(current.revision, head.revision)
         if head.revision != request.expected:
             return await self._explain_conflict(request, head)
         return None
 
-    async def _write(
+    async def _announce_and_write(
         self,
         request: ChangeRequest,
-        held: Configuration,
+        current: Configuration,
         head: Head,
     ) -> Result[Change, ProposalError] | None:
-        """Announce and write; None where nothing was written for sure."""
-        prepared = prepare_change(request, held, self._clock.wall())
+        """Announce and write a change.
+
+        :return: the outcome, None if certainly nothing was written and the
+            attempt can be repeated.
+        """
+        prepared = prepare_change(request, current, self._clock.wall())
         if isinstance(prepared, Err):
             return prepared
         change = prepared.ok_value
-        announced = await self._announce(request, change, held, head)
+        announced = await self._announce(request, change, current, head)
         if isinstance(announced, Err):
             return announced
         written = await self._store.transact(plan_writes(change, head))
         if isinstance(written, Ok):
             return Ok(change)
-        return await self._resolve(change, written.err_value)
+        return await self._resolve_failed_write(change, written.err_value)
 
     async def _announce(
         self,
         request: ChangeRequest,
         change: Change,
-        held: Configuration,
+        current: Configuration,
         head: Head,
     ) -> Result[None, MissingQuorumError]:
-        witnesses = held.tables.select(Witness)
+        witnesses = current.tables.select(Witness)
         noted: frozenset[str] = frozenset()
         if witnesses and self._announcer is not None:
-            announcement = describe_change(change, head.version)
+            announcement = build_announcement(change, head.version)
             noted = await self._announcer.announce(announcement, witnesses)
-        needed = count_quorum(witnesses, noted, request.destroyed)
+        needed = compute_quorum_size(witnesses, noted, request.destroyed)
         if witnesses and len(noted) < needed:
             change_id = request.change_id
             return Err(MissingQuorumError(change_id, len(noted), needed))
         return Ok(None)
 
-    async def _resolve(
+    async def _resolve_failed_write(
         self,
         change: Change,
         error: StoreError,
@@ -238,9 +253,10 @@
         found = await self.find_change(change.change_id)
         if isinstance(found, Ok) and found.ok_value == change:
             return Ok(change)
-        # The write may still be on its way; a new head version settles it.
-        settled = await self.fence()
-        if isinstance(settled, Err):
+        # The write may still reach the store. After the fence it either has
+        # taken effect or never will.
+        fenced = await self.fence()
+        if isinstance(fenced, Err):
             return Err(UnknownOutcomeError(change.change_id))
         found = await self.find_change(change.change_id)
         if isinstance(found, Err):
--- a/crocusshunt/configuration/_requests.py
+++ b/crocusshunt/configuration/_requests.py
@@ -1,4 +1,4 @@
-"""Changes as operators propose them."""
+"""Change requests of operators and their validation."""
 
 from dataclasses import dataclass
 
@@ -11,13 +11,16 @@
     attach_digest,
 )
 from crocusshunt.configuration._errors import Edit, InvalidChangeError
-from crocusshunt.configuration._rows import encode_row
+from crocusshunt.configuration._row_encoding import encode_row
 from crocusshunt.routing import Tables, find_change_faults
 
 
 @dataclass(frozen=True, slots=True)
 class EditRequest:
-    """A row that an operator wants put, or removed where it is None."""
+    """A row that an operator wants to set or remove.
+
+    :param row: the new row in text form, None to remove the row.
+    """
 
     table: str
     name: str
@@ -28,10 +31,11 @@
 class ChangeRequest:
     """A change that an operator proposes.
 
-    :param change_id: chosen by the operator's program; the same id asks
-        again about the same change.
-    :param expected: revision that the operator had seen.
-    :param destroyed: names of witnesses whose processes ended for good.
+    :param change_id: identifier chosen by the operator's program; a request
+        with the same id is a repetition, which is applied at most once.
+    :param expected: revision that the change is based on.
+    :param destroyed: names of witnesses whose processes have ended
+        permanently.
     """
 
     change_id: str
@@ -44,44 +48,46 @@
 
 def prepare_change(
     request: ChangeRequest,
-    held: Configuration,
+    current: Configuration,
     time: float,
 ) -> Result[Change, InvalidChangeError]:
-    """Return the sealed change of a request, or all its faults.
+    """Validate a request and return its change with the digest, or all faults.
 
-    :param time: seconds since the Unix epoch.
+    :param current: the configuration that the change is applied to.
+    :param time: time of the proposal in seconds since the Unix epoch.
     """
-    edits = tuple(_prepare_edit(edit, held.tables) for edit in request.edits)
-    applied = apply_edits(held.tables, edits)
+    edits = tuple(_prepare_edit(edit, current.tables) for edit in request.edits)
+    applied = apply_edits(current.tables, edits)
     if isinstance(applied, Err):
         return applied
-    faults = find_change_faults(held.tables, applied.ok_value)
+    faults = find_change_faults(current.tables, applied.ok_value)
     if faults:
         return Err(InvalidChangeError(faults))
     change = Change(
-        revision=held.revision + 1,
+        revision=current.revision + 1,
         change_id=request.change_id,
         author=request.author,
         reason=request.reason,
-        # An integer would read back as a float of another digest.
+        # An integer would be decoded as a float, which is encoded
+        # differently and so has another digest.
         time=float(time),
         edits=edits,
-        previous=held.digest,
+        previous=current.digest,
     )
     return Ok(attach_digest(change))
 
 
-def is_same_change(request: ChangeRequest, accepted: Change) -> bool:
-    """Tell whether a request asks again about an accepted change.
+def is_repetition(request: ChangeRequest, accepted: Change) -> bool:
+    """Return whether a request repeats an accepted change.
 
-    A request that has no edits left to make was planned after the change
-    was accepted.
+    A request without edits also counts: it was planned after the change was
+    accepted, when nothing was left to edit.
     """
     if request.author != accepted.author:
         return False
-    wanted = {(edit.table, edit.name, edit.row) for edit in request.edits}
-    done = {(edit.table, edit.name, edit.after) for edit in accepted.edits}
-    return not wanted or wanted == done
+    requested = {(edit.table, edit.name, edit.row) for edit in request.edits}
+    applied = {(edit.table, edit.name, edit.after) for edit in accepted.edits}
+    return not requested or requested == applied
 
 
 def _prepare_edit(edit: EditRequest, tables: Tables) -> Edit:
--- a/crocusshunt/configuration/_rows.py
+++ b/crocusshunt/configuration/_row_encoding.py
@@ -1,4 +1,4 @@
-"""Text form of rows, the same for the store, messages and digests."""
+"""Text form of rows, used in the store, in messages and for digests."""
 
 from typing import Any
 
@@ -28,7 +28,7 @@
     """Parse and validate the text form of a row.
 
     :param table: table that the row belongs to.
-    :param name: name that the row must carry.
+    :param name: name that the row's field ``name`` must hold.
 
     >>> faults = decode_row('pool', 'verify', '{"name":"ledger"}').unwrap_err()
     >>> faults[0].problem
--- a/crocusshunt/configuration/_snapshots.py
+++ b/crocusshunt/configuration/_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots of a configuration, which spare a starting host the whole log."""
+"""Configuration snapshots, which let a host start without every change."""
 
 from dataclasses import dataclass
 from hashlib import sha256
@@ -8,7 +8,7 @@
 
 from crocusshunt.configuration._changes import Configuration, apply_edits
 from crocusshunt.configuration._errors import ConfigurationError, Edit
-from crocusshunt.configuration._rows import encode_row
+from crocusshunt.configuration._row_encoding import encode_row
 from crocusshunt.routing import Tables
 
 _SEPARATOR = b'\n'
@@ -16,9 +16,9 @@
 
 @dataclass(unsafe_hash=True)
 class DamagedSnapshotError(ConfigurationError):
-    """A snapshot that cannot be trusted; the log is used instead.
+    """A damaged snapshot; the reader applies the changes instead.
 
-    :param detail: what was seen.
+    :param detail: what is wrong with the snapshot.
     """
 
     code = 'snapshot-damaged'
@@ -28,6 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _Snapshot:
+    """Body of an encoded snapshot.
+
+    :param digest: digest of the change that created the revision.
+    :param content: digest of all rows.
+    """
+
     revision: int
     digest: str
     content: str
@@ -35,7 +41,10 @@
 
 
 def list_rows(tables: Tables) -> tuple[Edit, ...]:
-    """Return one edit for each row, sorted, with its text in ``after``."""
+    """Return one edit per row, sorted by table and name.
+
+    Each edit adds its row: ``before`` is None, ``after`` the row's text.
+    """
     return tuple(
         Edit(table, name, None, encode_row(row))
         for table, named in sorted(tables.rows.items())
@@ -44,33 +53,33 @@
 
 
 def digest_tables(tables: Tables) -> str:
-    """Return the digest of all rows, the same for equal tables.
+    """Return the SHA-256 digest of all rows, which is equal for equal tables.
 
     >>> from crocusshunt.routing import Pool
-    >>> one = Tables().put(Pool('a'), Pool('b'))
-    >>> digest_tables(one) == digest_tables(Tables().put(Pool('b'), Pool('a')))
+    >>> left = Tables().put(Pool('a'), Pool('b'))
+    >>> digest_tables(left) == digest_tables(Tables().put(Pool('b'), Pool('a')))
     True
     """
     return _digest(msgspec.json.encode(list_rows(tables)))
 
 
-def encode_snapshot(held: Configuration) -> bytes:
-    """Return a snapshot: the digest of its body, a newline, the body."""
+def encode_snapshot(current: Configuration) -> bytes:
+    """Return a snapshot: digest of the body, a newline, the JSON body."""
     snapshot = _Snapshot(
-        held.revision,
-        held.digest,
-        digest_tables(held.tables),
-        list_rows(held.tables),
+        current.revision,
+        current.digest,
+        digest_tables(current.tables),
+        list_rows(current.tables),
     )
     body = msgspec.json.encode(snapshot)
     return _SEPARATOR.join((_digest(body).encode(), body))
 
 
 def decode_snapshot(
-    archived: bytes,
+    encoded: bytes,
 ) -> Result[Configuration, DamagedSnapshotError]:
-    """Return the configuration of a snapshot, or why it is refused."""
-    digest, _separator, body = archived.partition(_SEPARATOR)
+    """Return the configuration of a snapshot, or why it is not usable."""
+    digest, _separator, body = encoded.partition(_SEPARATOR)
     if digest != _digest(body).encode():
         return Err(DamagedSnapshotError('the digest does not match the body'))
     try:
--- a/crocusshunt/configuration/tests/test_faults.py
+++ b/crocusshunt/configuration/tests/test_faults.py
@@ -1,4 +1,8 @@
-"""Several faults at once, from fixed seeds."""
+"""Random store faults, with fixed seeds.
+
+Guards against a change that is written twice, a change reported as accepted
+that is missing, and a change reported as refused that was written.
+"""
 
 import random
 from dataclasses import dataclass, field
@@ -34,10 +38,13 @@
 
 
 class _FaultyPlatform(MemoryPlatform):
-    """Meets each fault with a chance of one in four.
+    """A table service that injects each fault with a probability of 1/4.
 
-    :param faults: ``lost`` answers, ``late`` writes, store ``down`` for
-        writes, ``unread`` rows, a ``fence`` by another process.
+    :param source: random source that decides about each fault.
+    :param faults: ``lost``: the answer to a write is lost; ``late``: a write
+        is delayed and its outcome unknown; ``down``: writes fail;
+        ``unread``: reads fail; ``fence``: another process fences the head
+        just before a change is written.
     """
 
     def __init__(self, source: random.Random, faults: tuple[str, ...]) -> None:
@@ -51,7 +58,7 @@
         table: str,
         key: str,
     ) -> Result[StoredRow | None, StoreError]:
-        if self._meets('unread'):
+        if self._should_inject('unread'):
             return Err(StoreUnknownOutcomeError('read'))
         return await super().read(table, key)
 
@@ -59,7 +66,7 @@
         self,
         query: Query,
     ) -> Result[tuple[StoredRow, ...], StoreError]:
-        if self._meets('unread'):
+        if self._should_inject('unread'):
             return Err(StoreUnavailableError('query'))
         return await super().query(query)
 
@@ -67,15 +74,15 @@
         self,
         writes: tuple[Write, ...],
     ) -> Result[None, StoreError]:
-        if self._meets('down'):
+        if self._should_inject('down'):
             return Err(StoreUnavailableError('down'))
-        if self._meets('late'):
+        if self._should_inject('late'):
             self.late.append(writes)
             return Err(StoreUnknownOutcomeError('late'))
-        if len(writes) > 1 and self._meets('fence'):
+        if len(writes) > 1 and self._should_inject('fence'):
             await self.fence()
         written = await super().transact(writes)
-        if isinstance(written, Ok) and self._meets('lost'):
+        if isinstance(written, Ok) and self._should_inject('lost'):
             return Err(StoreUnknownOutcomeError('lost'))
         return written
 
@@ -90,10 +97,10 @@
             write = Write(*_HEAD, row.body, row.version)
             await MemoryPlatform.transact(self, (write,))
 
-    def heal(self) -> None:
+    def stop_faults(self) -> None:
         self._faults = ()
 
-    def _meets(self, fault: str) -> bool:
+    def _should_inject(self, fault: str) -> bool:
         return fault in self._faults and not self._source.randrange(4)
 
 
@@ -101,11 +108,13 @@
 
 
 @dataclass
-class _Ledger:
+class _ObservedOutcomes:
+    """Change ids that were reported as accepted or as refused."""
+
     accepted: set[str] = field(default_factory=set)
     refused: set[str] = field(default_factory=set)
 
-    def note(
+    def record(
         self,
         change_id: str,
         outcome: Result[Change, ProposalError],
@@ -127,10 +136,10 @@
 
 
 def _apply(changes: tuple[Change, ...]) -> Configuration:
-    held = Configuration()
+    current = Configuration()
     for change in changes:
-        held = apply_change(held, change).unwrap()
-    return held
+        current = apply_change(current, change).unwrap()
+    return current
 
 
 def _request(change_id: str, expected: int, author: str) -> ChangeRequest:
@@ -142,22 +151,24 @@
 @pytest.mark.parametrize('seed', range(10))
 @pytest.mark.parametrize('first', _FAULTS)
 @pytest.mark.parametrize('second', _FAULTS)
-async def test_pairs_of_faults(first: str, second: str, seed: int) -> None:
+async def test_outcomes_match_store_under_two_faults(
+    first: str, second: str, seed: int
+) -> None:
     store = _FaultyPlatform(random.Random(seed), (first, second))
     repository = Repository(store, ManualClock())
-    ledger = _Ledger()
+    observed = _ObservedOutcomes()
     for number in range(_ROUNDS):
-        held = _apply(await _read_all(store))
+        current = _apply(await _read_all(store))
         for author in ('mina', 'omar'):
             change_id = f'{author}-{number}'
-            request = _request(change_id, held.revision, author)
-            outcome = await repository.propose(request, held)
-            ledger.note(change_id, outcome)
+            request = _request(change_id, current.revision, author)
+            outcome = await repository.propose(request, current)
+            observed.record(change_id, outcome)
             await store.deliver_late()
-    store.heal()
+    store.stop_faults()
     while store.late:
         await store.deliver_late()
-    logged = [change.change_id for change in await _read_all(store)]
-    assert len(logged) == len(set(logged))
-    assert ledger.accepted <= set(logged)
-    assert not ledger.refused & set(logged)
+    written = [change.change_id for change in await _read_all(store)]
+    assert len(written) == len(set(written))
+    assert observed.accepted <= set(written)
+    assert not observed.refused & set(written)
--- a/crocusshunt/configuration/tests/test_repository.py
+++ b/crocusshunt/configuration/tests/test_repository.py
@@ -1,4 +1,4 @@
-"""Changes against faults of the store, of writers and of operators."""
+"""Proposals under store faults, concurrent writers and repeated requests."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
@@ -19,7 +19,7 @@
     UnknownOutcomeError,
     UnreachableStoreError,
     apply_change,
-    describe_change,
+    build_announcement,
     encode_row,
 )
 from crocusshunt.core import ManualClock
@@ -51,8 +51,8 @@
     return Repository(store, ManualClock())
 
 
-class _LatePlatform(MemoryPlatform):
-    """Keeps the first transaction of a change back and answers unknown."""
+class _DelayingPlatform(MemoryPlatform):
+    """Delays the first change's write and reports an unknown outcome."""
 
     late: tuple[Write, ...] = ()
 
@@ -67,19 +67,24 @@
 
 
 class _Announcer:
+    """Acknowledges as many witnesses as ``noted`` says.
+
+    ``before_reply``, if set, is called between announcement and write.
+    """
+
     def __init__(self, noted: int = 0) -> None:
         self.noted = noted
-        self.heard: list[Announcement] = []
-        self.meanwhile: Callable[[], Awaitable[object]] | None = None
+        self.received: list[Announcement] = []
+        self.before_reply: Callable[[], Awaitable[object]] | None = None
 
     async def announce(
         self,
         announcement: Announcement,
         witnesses: tuple[Witness, ...],
     ) -> frozenset[str]:
-        self.heard.append(announcement)
-        if self.meanwhile is not None:
-            await self.meanwhile()
+        self.received.append(announcement)
+        if self.before_reply is not None:
+            await self.before_reply()
         return frozenset(one.name for one in witnesses[: self.noted])
 
 
@@ -98,23 +103,23 @@
     return apply_change(_EMPTY, change).unwrap()
 
 
-async def test_lost_answer_is_resolved() -> None:
+async def test_lost_answer_of_written_change_is_accepted() -> None:
     store = MemoryPlatform()
     store.switches.lost_answers = 1
     accepted = await _create(store).propose(_request(), _EMPTY)
     assert accepted.unwrap().revision == 1
 
 
-async def test_delayed_write_never_takes_effect_twice() -> None:
-    store = _LatePlatform()
+async def test_delayed_write_takes_effect_once() -> None:
+    store = _DelayingPlatform()
     accepted = (await _create(store).propose(_request(), _EMPTY)).unwrap()
     late = await MemoryPlatform.transact(store, store.late)
     assert isinstance(late.unwrap_err(), StoreConflictError)
     assert (await _create(store).read_changes(0)).unwrap() == (accepted,)
 
 
-async def test_unknown_outcome_is_said_while_the_store_is_gone() -> None:
-    store = _LatePlatform()
+async def test_unknown_outcome_is_reported_while_store_is_down() -> None:
+    store = _DelayingPlatform()
     repository = _create(store)
     find_change = repository.find_change
 
@@ -140,7 +145,7 @@
     assert outcome.unwrap_err() == UnreachableStoreError('c1')
 
 
-async def test_later_operator_sees_the_other_change() -> None:
+async def test_conflict_names_the_change_accepted_first() -> None:
     store = MemoryPlatform()
     await _create(store).propose(_request(), _EMPTY)
     outcome = await _create(store).propose(_request('c2'), _EMPTY)
@@ -150,71 +155,71 @@
     assert [edit.name for edit in error.edits] == ['verify']
 
 
-async def test_operators_race_between_announcement_and_write() -> None:
+async def test_conflict_between_announcement_and_write() -> None:
     store = MemoryPlatform()
-    held = await _name_witnesses(store)
+    current = await _name_witnesses(store)
     first = _Announcer(noted=2)
     second = Repository(store, ManualClock(), _Announcer(noted=2))
     rival = _request('c2', 1, 'omar', 'ledger')
-    first.meanwhile = lambda: second.propose(rival, held)
+    first.before_reply = lambda: second.propose(rival, current)
     outcome = await Repository(store, ManualClock(), first).propose(
         _request('c1', 1),
-        held,
+        current,
     )
     error = outcome.unwrap_err()
     assert isinstance(error, RevisionConflictError)
     assert error.author == 'omar'
 
 
-async def test_minority_of_witnesses_writes_nothing() -> None:
+async def test_minority_acknowledgement_writes_nothing() -> None:
     store = MemoryPlatform()
-    held = await _name_witnesses(store)
+    current = await _name_witnesses(store)
     repository = Repository(store, ManualClock(), _Announcer(noted=1))
-    outcome = await repository.propose(_request('c1', 1), held)
+    outcome = await repository.propose(_request('c1', 1), current)
     assert outcome.unwrap_err() == MissingQuorumError('c1', 1, 2)
     assert (await repository.read_head()).unwrap().revision == 1
 
 
 async def test_destroyed_majority_does_not_block_changes() -> None:
     store = MemoryPlatform()
-    held = await _name_witnesses(store)
+    current = await _name_witnesses(store)
     repository = Repository(store, ManualClock(), _Announcer(noted=1))
     for destroyed, is_accepted in (({'a'}, False), ({'b', 'c'}, True)):
         request = replace(
             _request('c1', 1),
             destroyed=frozenset(destroyed),
         )
-        outcome = await repository.propose(request, held)
+        outcome = await repository.propose(request, current)
         assert outcome.is_ok() == is_accepted, destroyed
 
 
-async def test_fence_meanwhile_is_announced_again() -> None:
+async def test_change_is_announced_again_after_a_fence() -> None:
     store = MemoryPlatform()
-    held = await _name_witnesses(store)
+    current = await _name_witnesses(store)
     announcer = _Announcer(noted=3)
 
     async def fence_once() -> None:
-        announcer.meanwhile = None
+        announcer.before_reply = None
         await _create(store).fence()
 
-    announcer.meanwhile = fence_once
+    announcer.before_reply = fence_once
     repository = Repository(store, ManualClock(), announcer)
-    assert (await repository.propose(_request('c1', 1), held)).is_ok()
-    bases = [heard.base for heard in announcer.heard]
+    assert (await repository.propose(_request('c1', 1), current)).is_ok()
+    bases = [announcement.base for announcement in announcer.received]
     assert bases == [1, 2]
 
 
-async def test_fences_for_ever_end_typed() -> None:
+async def test_constant_fencing_ends_with_an_error() -> None:
     store = MemoryPlatform()
-    held = await _name_witnesses(store)
+    current = await _name_witnesses(store)
     announcer = _Announcer(noted=3)
-    announcer.meanwhile = _create(store).fence
+    announcer.before_reply = _create(store).fence
     repository = Repository(store, ManualClock(), announcer)
-    outcome = await repository.propose(_request('c1', 1), held)
+    outcome = await repository.propose(_request('c1', 1), current)
     assert outcome.unwrap_err() == BusyHeadError('c1')
 
 
-async def test_change_id_of_another_change_is_refused() -> None:
+async def test_reused_change_id_is_refused() -> None:
     store = MemoryPlatform()
     repository = _create(store)
     await repository.propose(_request(), _EMPTY)
@@ -225,18 +230,18 @@
         assert outcome.unwrap_err() == ReusedChangeIdError('c1', 1, 'mina')
 
 
-async def test_store_set_back_is_no_conflict_of_operators() -> None:
+async def test_older_store_is_not_a_revision_conflict() -> None:
     store = MemoryPlatform()
     change = (await _create(store).propose(_request(), _EMPTY)).unwrap()
-    held = apply_change(_EMPTY, change).unwrap()
+    current = apply_change(_EMPTY, change).unwrap()
     outcome = await _create(MemoryPlatform()).propose(
         _request('c2', expected=1, name='ledger'),
-        held,
+        current,
     )
     assert outcome.unwrap_err() == DivergedHistoryError(1, 0)
 
 
-async def test_damaged_records_are_typed() -> None:
+async def test_damaged_records_are_reported() -> None:
     for table, key in (
         ('configuration-head', 'head'),
         ('configuration-change', '000000000001'),
@@ -250,10 +255,10 @@
         assert isinstance(found, StoreDamagedAnswerError)
 
 
-async def test_announcement_names_what_may_be_withdrawn() -> None:
+async def test_announcement_flags_witness_changes() -> None:
     store = MemoryPlatform()
     await _name_witnesses(store)
     change = (await _create(store).read_changes(0)).unwrap()[0]
-    announcement = describe_change(change, base=7)
+    announcement = build_announcement(change, base=7)
     assert announcement.moves_witnesses
     assert announcement.base == 7
--- a/crocusshunt/configuration/tests/test_requests.py
+++ b/crocusshunt/configuration/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Faults of a change that its result alone does not show."""
+"""Validation that compares the tables before and after a change."""
 
 from crocusshunt.configuration import (
     ChangeRequest,
@@ -11,7 +11,7 @@
 from crocusshunt.shifts import Shift
 
 _SHIFT = Shift('s', 'verify', 'addis', 'dire', step_share=0.1, moved=0)
-_HELD = Configuration(
+_CURRENT = Configuration(
     tables=Tables().put(
         FailureDomain('addis-a', 'addis'),
         FailureDomain('dire-a', 'dire'),
@@ -23,7 +23,7 @@
 )
 
 
-def test_edit_that_jumps_past_a_step_is_refused() -> None:
+def test_shift_edit_larger_than_one_step_is_refused() -> None:
     row = encode_row(
         Shift('s', 'verify', 'addis', 'dire', step_share=0.1, moved=0.9),
     )
@@ -34,5 +34,5 @@
         'all at once',
         (EditRequest('shift', 's', row),),
     )
-    refused = prepare_change(request, _HELD, 1.5).unwrap_err()
+    refused = prepare_change(request, _CURRENT, 1.5).unwrap_err()
     assert 'moves more than one step' in refused.describe()
