--- a/crocusshunt/client/__init__.py
+++ b/crocusshunt/client/__init__.py
@@ -1,4 +1,4 @@
-"""Client of the operators' interface."""
+"""Client of the operator API."""
 
 from crocusshunt.client._errors import (
     ApiError,
@@ -6,7 +6,7 @@
     UnreachableApiError,
 )
 from crocusshunt.client._operators import OperatorClient
-from crocusshunt.client._values import Proposal, Snapshot
+from crocusshunt.client._models import Proposal, Snapshot
 
 __all__ = (
     'ApiError',
--- a/crocusshunt/client/_errors.py
+++ b/crocusshunt/client/_errors.py
@@ -1,4 +1,4 @@
-"""Failures of calls to the operators' interface."""
+"""Errors of calls to the operator API."""
 
 from dataclasses import dataclass
 
@@ -8,16 +8,16 @@
 
 @dataclass(unsafe_hash=True)
 class ApiError(CrocusError):
-    """A call to the operators' interface that failed."""
+    """A failed call to the operator API."""
 
     code = 'api'
 
 
 @dataclass(unsafe_hash=True)
 class UnreachableApiError(ApiError):
-    """No answer came; a change may or may not have been accepted.
+    """No readable answer came; a change may or may not have been accepted.
 
-    :param detail: what was seen.
+    :param detail: description of the error.
     """
 
     code = 'api-unreachable'
@@ -27,9 +27,10 @@
 
 @dataclass(unsafe_hash=True)
 class RefusedCallError(ApiError):
-    """The interface answered with an error.
+    """The API answered with an error.
 
-    :param document: the error as the interface describes it.
+    :param status: HTTP status of the answer.
+    :param document: body of the answer, which describes the error.
     """
 
     code = 'api-refused'
@@ -38,5 +39,5 @@
     document: ErrorDocument
 
     def describe(self) -> str:
-        """Return the interface's own words."""
+        """Return the error code and description that the API gave."""
         return f'{self.document.code}: {self.document.detail}'
--- a/crocusshunt/client/_values.py
+++ b/crocusshunt/client/_models.py
@@ -1,4 +1,4 @@
-"""What operators read and propose."""
+"""Values that operators read from and send to the API."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The tables in force."""
+    """The tables in force as of one revision."""
 
     revision: int
     tables: Tables
@@ -18,7 +18,8 @@
 class Proposal:
     """A change to propose.
 
-    :param expected: revision that the edits were made from.
+    :param change_id: identifier of the change, repeated to retry it safely.
+    :param expected: revision that the edits are based on.
     """
 
     change_id: str
--- a/crocusshunt/client/_operators.py
+++ b/crocusshunt/client/_operators.py
@@ -1,4 +1,4 @@
-"""HTTP client of the operators' interface."""
+"""HTTP client of the operator API."""
 
 from collections.abc import Callable
 from typing import TypeVar
@@ -20,7 +20,7 @@
     RefusedCallError,
     UnreachableApiError,
 )
-from crocusshunt.client._values import Proposal, Snapshot
+from crocusshunt.client._models import Proposal, Snapshot
 from crocusshunt.configuration import Change, decode_row
 from crocusshunt.routing import Tables
 
@@ -30,18 +30,18 @@
 _Document = TypeVar('_Document')
 
 
-def _ignore(_progress: str) -> None:
-    """Take no notice of progress."""
+def _ignore_progress(_progress: str) -> None:
+    """Discard a progress message."""
 
 
 class OperatorClient:
-    """Calls one operators' interface; owns its connections."""
+    """Calls the operator API of one host and owns the connections to it."""
 
     def __init__(self, url: str, key: str) -> None:
-        """Prepare to call.
+        """Create a client; it connects with the first call.
 
-        :param url: base URL of the interface.
-        :param key: the operator's key.
+        :param url: base URL of the API.
+        :param key: the operator's key, sent as a bearer token.
         """
         self._url = url
         self._headers = {'Authorization': f'Bearer {key}'}
@@ -53,11 +53,11 @@
             await self._session.close()
 
     async def get_status(self) -> Result[StatusDocument, ApiError]:
-        """Return the state of the process that answers."""
+        """Return the status of the API process."""
         return await self._call('GET', '/v1/status', StatusDocument)
 
     async def get_snapshot(self) -> Result[Snapshot, ApiError]:
-        """Return the tables in force."""
+        """Return the tables in force and their revision."""
         document = await self._call(
             'GET',
             '/v1/configuration',
@@ -69,7 +69,7 @@
         self,
         after: int,
     ) -> Result[tuple[Change, ...], ApiError]:
-        """Return changes after a revision, oldest first."""
+        """Return one page of the changes after a revision, oldest first."""
         document = await self._call(
             'GET',
             f'/v1/changes?after={after}',
@@ -79,11 +79,11 @@
 
     async def list_all_changes(
         self,
-        progress: Callable[[str], None] = _ignore,
+        progress: Callable[[str], None] = _ignore_progress,
     ) -> Result[tuple[Change, ...], ApiError]:
-        """Return every change, oldest first, page by page.
+        """Read every change page by page and return them, oldest first.
 
-        :param progress: told after each page how much has arrived.
+        :param progress: called after each page with a progress message.
         """
         changes: list[Change] = []
         while True:
@@ -100,7 +100,10 @@
         self,
         change_id: str,
     ) -> Result[AcceptedDocument, ApiError]:
-        """Return what became of a change whose answer was lost."""
+        """Return the accepted change with an id.
+
+        This tells whether a change whose answer was lost was accepted.
+        """
         path = f'/v1/changes/{change_id}'
         return await self._call('GET', path, AcceptedDocument)
 
