--- a/crocusshunt/ctl/_changes.py
+++ b/crocusshunt/ctl/_changes.py
@@ -15,8 +15,8 @@
 from crocusshunt.declarations import (
     DECLARED_TABLES,
     compare_tables,
+    format_fields,
     read_declarations,
-    write_fields,
 )
 from crocusshunt.routing import Server, ServerState, Tables
 from crocusshunt.schema import find_row_type, is_table, list_tables
@@ -142,7 +142,7 @@
 ) -> Edits:
     table, name = target
     held = tables.rows.get(table, {}).get(name)
-    known = {} if held is None else write_fields(held)
+    known = {} if held is None else format_fields(held)
     fields = {**known, **values, 'name': name}
     source = Source(f'{table} {name}', is_text=True)
     row = convert_fields(source, fields, find_row_type(table))
--- a/crocusshunt/ctl/_queries.py
+++ b/crocusshunt/ctl/_queries.py
@@ -12,7 +12,7 @@
 from crocusshunt.ctl._commands import Context, ExitStatus, register_command
 from crocusshunt.ctl._console import format_table
 from crocusshunt.ctl._failures import report_failure, report_faults
-from crocusshunt.declarations import read_declarations, write_declarations
+from crocusshunt.declarations import format_declarations, read_declarations
 from crocusshunt.routing import find_faults
 from crocusshunt.schema import is_table, list_tables
 
@@ -83,7 +83,7 @@
     if isinstance(snapshot, Err):
         return report_failure(context, snapshot.err_value)
     directory = Path(context.arguments['DIR'])
-    files = write_declarations(snapshot.ok_value.tables)
+    files = format_declarations(snapshot.ok_value.tables)
     try:
         directory.mkdir(parents=True)
         for name, text in files.items():
--- a/crocusshunt/declarations/__init__.py
+++ b/crocusshunt/declarations/__init__.py
@@ -1,17 +1,17 @@
-"""Operators' files, kept in version control, that declare the tables."""
+"""Declaration files: tables as INI files that operators version-control."""
 
-from crocusshunt.declarations._difference import compare_tables
-from crocusshunt.declarations._directory import read_declarations
-from crocusshunt.declarations._text import (
+from crocusshunt.declarations._differences import compare_tables
+from crocusshunt.declarations._reader import read_declarations
+from crocusshunt.declarations._writer import (
     DECLARED_TABLES,
-    write_declarations,
-    write_fields,
+    format_declarations,
+    format_fields,
 )
 
 __all__ = (
     'DECLARED_TABLES',
     'compare_tables',
+    'format_declarations',
+    'format_fields',
     'read_declarations',
-    'write_declarations',
-    'write_fields',
 )
--- a/crocusshunt/declarations/_directory.py
+++ b/crocusshunt/declarations/_reader.py
@@ -1,4 +1,4 @@
-"""Reads a directory of INI files into tables."""
+"""Reading of declarations from a directory of INI files."""
 
 from collections.abc import Iterator, Mapping
 from pathlib import Path
@@ -14,12 +14,13 @@
 
 
 def read_declarations(directory: Path) -> Result[Tables, SettingsError]:
-    """Read every INI file of a directory.
+    """Read the tables that the INI files of a directory declare.
 
     A section ``[route verify]`` declares the row ``verify`` of the table
     ``route``; its keys are the row's fields.
 
-    :param directory: holds the files; their names do not matter.
+    :param directory: directory of files ``*.ini``; how rows are spread over
+        the files does not matter.
     """
     paths = sorted(directory.glob(_PATTERN))
     if not paths:
--- a/crocusshunt/declarations/_text.py
+++ b/crocusshunt/declarations/_writer.py
@@ -1,4 +1,4 @@
-"""Declarations as INI files: the reverse of reading a directory."""
+"""Formatting of tables as declarations, the reverse of reading them."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any
@@ -20,48 +20,51 @@
 )
 
 
-def write_fields(row: Row) -> dict[str, str]:
-    """Return a row's fields as an INI file holds them.
+def format_fields(row: Row) -> dict[str, str]:
+    """Return a row's fields in the text form of INI files.
+
+    Fields that are None are left out.
 
     >>> from crocusshunt.routing import Customer
-    >>> write_fields(Customer('court', rate=20.0, burst=40))['burst']
+    >>> format_fields(Customer('court', rate=20.0, burst=40))['burst']
     '40'
     """
     fields = msgspec.json.decode(encode_row(row), type=dict[str, Any])
     return {
-        name: _write_field(content)
+        name: _format_value(content)
         for name, content in fields.items()
         if content is not None
     }
 
 
-def write_declarations(tables: Tables) -> Mapping[str, str]:
-    """Return the text of one file for each declared table, by file name.
+def format_declarations(tables: Tables) -> Mapping[str, str]:
+    """Return the text of one INI file per non-empty table, by file name.
 
-    Keys and operators are not declared in files and are left out.
+    Only the tables in ``DECLARED_TABLES`` are included: keys and operators
+    are not declared in files.
 
     >>> from crocusshunt.routing import Pool
-    >>> print(write_declarations(Tables().put(Pool('verify')))['pool.ini'])
+    >>> print(format_declarations(Tables().put(Pool('verify')))['pool.ini'])
     [pool verify]
     <BLANKLINE>
     """
     return {
-        f'{table}.ini': '\n'.join(_write_rows(table, tables.rows[table]))
+        f'{table}.ini': '\n'.join(_format_rows(table, tables.rows[table]))
         for table in DECLARED_TABLES
         if tables.rows.get(table)
     }
 
 
-def _write_rows(table: str, rows: Mapping[str, Row]) -> Iterator[str]:
+def _format_rows(table: str, rows: Mapping[str, Row]) -> Iterator[str]:
     for name in sorted(rows):
         yield f'[{table} {name}]'
-        for field, text in sorted(write_fields(rows[name]).items()):
+        for field, text in sorted(format_fields(rows[name]).items()):
             if field != 'name':
                 yield f'{field} = {text}'
         yield ''
 
 
-def _write_field(content: Any) -> str:
+def _format_value(content: Any) -> str:
     if isinstance(content, list):
         return ', '.join(content)
     if isinstance(content, bool):
