--- a/crocusshunt/settings/__init__.py
+++ b/crocusshunt/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of programs, read from INI files and validated."""
+"""Program settings, read from INI files and validated."""
 
 from crocusshunt.settings._constraints import (
     BaseUrl,
--- a/crocusshunt/settings/_constraints.py
+++ b/crocusshunt/settings/_constraints.py
@@ -1,4 +1,4 @@
-"""Annotated types of settings, which refuse what could never work."""
+"""Annotated types that validate the values of settings."""
 
 from typing import Annotated
 
--- a/crocusshunt/settings/_reader.py
+++ b/crocusshunt/settings/_reader.py
@@ -1,4 +1,4 @@
-"""Reads an INI file into a settings structure."""
+"""Reading of an INI file into a settings data class."""
 
 from collections.abc import Mapping
 from configparser import ConfigParser
@@ -17,9 +17,9 @@
 
 @dataclass(unsafe_hash=True)
 class SettingsError(CrocusError):
-    """Settings or declarations that are refused.
+    """Settings or declarations that are invalid.
 
-    :param faults: everything that is wrong, each with its place.
+    :param faults: every fault, each with its file, section and key.
     """
 
     code = 'settings'
@@ -27,14 +27,14 @@
     faults: tuple[Fault, ...]
 
     def describe(self) -> str:
-        """Return all faults, one a line."""
+        """Return all faults, one per line."""
         return '\n'.join(str(fault) for fault in self.faults)
 
 
 def read_sections(
     path: Path,
 ) -> Result[Mapping[str, Mapping[str, str]], SettingsError]:
-    """Return the sections of an INI file, in their order.
+    """Return the sections of an INI file, in the order of the file.
 
     :param path: an INI file in UTF-8.
     """
@@ -51,10 +51,14 @@
     path: Path,
     settings_class: type[_SettingsType],
 ) -> Result[_SettingsType, SettingsError]:
-    """Read and validate a whole settings file.
+    """Read and validate a settings file.
 
-    :param settings_class: a data class whose fields are the sections, each
-        a data class whose fields are the keys.
+    Unknown sections are faults. A missing section is read as an empty one,
+    so its keys take their defaults.
+
+    :param path: an INI file in UTF-8.
+    :param settings_class: data class with one field per section, whose type
+        is a data class with one field per key.
     """
     return read_sections(path).and_then(
         lambda sections: _build(str(path), sections, settings_class),
--- a/crocusshunt/settings/tests/programs.py
+++ b/crocusshunt/settings/tests/programs.py
@@ -1,4 +1,4 @@
-"""Every program that reads settings."""
+"""Settings classes of all programs that read an INI file of settings."""
 
 from collections.abc import Mapping
 
--- a/crocusshunt/settings/tests/test_constraints.py
+++ b/crocusshunt/settings/tests/test_constraints.py
@@ -1,4 +1,4 @@
-"""Tests of the types of settings."""
+"""Validation of settings by the annotated types."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -15,7 +15,7 @@
     read_settings,
 )
 
-_GOOD = {
+_VALID = {
     'address': '10.10.0.11',
     'port': '0',
     'listen': 'tcp://127.0.0.1:65535',
@@ -40,7 +40,7 @@
     any: _Section
 
 
-def _find_places(directory: Path, values: dict[str, str]) -> list[str]:
+def _find_faulty_keys(directory: Path, values: dict[str, str]) -> list[str]:
     path = directory / 'settings.ini'
     lines = [f'{key} = {text}' for key, text in values.items()]
     path.write_text('\n'.join(['[any]', *lines]), encoding='utf-8')
@@ -66,10 +66,10 @@
         ('digest', 'abc'),
     ],
 )
-def test_impossible_setting_is_refused(
+def test_invalid_value_is_refused(
     key: str,
     text: str,
     tmp_path: Path,
 ) -> None:
-    assert not _find_places(tmp_path, _GOOD)
-    assert _find_places(tmp_path, {**_GOOD, key: text}) == [key]
+    assert not _find_faulty_keys(tmp_path, _VALID)
+    assert _find_faulty_keys(tmp_path, {**_VALID, key: text}) == [key]
--- a/crocusshunt/settings/tests/test_pages.py
+++ b/crocusshunt/settings/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""Tests that the page of settings and the sample files are true."""
+"""Agreement of settings classes, their documentation and sample files."""
 
 import re
 from collections.abc import Iterator
@@ -22,30 +22,30 @@
 
 
 def _read_page() -> Iterator[_Entry]:
-    place = ('', '')
+    program_section = ('', '')
     for line in _PAGE.read_text(encoding='utf-8').splitlines():
         heading = _HEADING.match(line)
         if heading:
-            place = (heading[2], heading[1])
+            program_section = (heading[2], heading[1])
         row = _ROW.match(line)
         if row:
-            yield (*place, row[1], row[2])
+            yield (*program_section, row[1], row[2])
 
 
 def _list_settings() -> Iterator[_Entry]:
     for program, settings in PROGRAMS.items():
         for section, section_class in get_type_hints(settings).items():
             for field in fields(section_class):
-                yield program, section, field.name, _write_default(field)
+                yield program, section, field.name, _format_default(field)
 
 
-def _write_default(field: Field[Any]) -> str:
+def _format_default(field: Field[Any]) -> str:
     if field.default is MISSING:
         return 'required'
     return 'empty' if field.default in {'', ()} else str(field.default)
 
 
-def test_page_names_every_setting_and_no_other() -> None:
+def test_documented_settings_match_the_classes() -> None:
     assert sorted(_read_page()) == sorted(_list_settings())
 
 
