--- a/crocusshunt/ctl/__init__.py
+++ b/crocusshunt/ctl/__init__.py
@@ -1,13 +1,13 @@
-"""Commands of the operators' program."""
+"""Commands of the operators' program ``crocusctl``."""
 
 from crocusshunt.ctl import (  # noqa: F401
-    _audits,
+    _audit,
     _changes,
     _checks,
     _keys,
-    _movements,
+    _load_shifting,
     _queries,
-    _requests,
+    _request_logs,
 )
 from crocusshunt.ctl._commands import (
     Arguments,
--- a/crocusshunt/ctl/_audits.py
+++ b/crocusshunt/ctl/_audit.py
@@ -1,4 +1,4 @@
-"""Commands of the audit trail."""
+"""Commands that show, export and verify the audit trail."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -23,17 +23,23 @@
     changes = await context.client.list_all_changes()
     if isinstance(changes, Err):
         return report_failure(context, changes.err_value)
-    context.console.show(
+    context.console.write_outcome(
         changes.ok_value,
-        [line for change in changes.ok_value for line in _describe(change)],
+        [
+            line
+            for change in changes.ok_value
+            for line in _format_change(change)
+        ],
     )
     return ExitStatus.done
 
 
 @register_command('audit', 'export')
 async def export_audit(context: Context) -> ExitStatus:
-    """Write the whole trail to a file and show its head."""
-    changes = await context.client.list_all_changes(context.console.note)
+    """Write the whole trail to a file, verify it and show its head digest."""
+    changes = await context.client.list_all_changes(
+        context.console.write_progress
+    )
     if isinstance(changes, Err):
         return report_failure(context, changes.err_value)
     path = Path(context.arguments['FILE'])
@@ -42,12 +48,12 @@
         path.write_text(''.join(lines), encoding='utf-8')
     except OSError as error:
         return report_faults(context, (Fault(str(path), str(error)),))
-    return _verify(context, changes.ok_value)
+    return _show_verification(context, changes.ok_value)
 
 
 @register_command('audit', 'verify')
 async def verify_audit(context: Context) -> ExitStatus:
-    """Check an exported trail without the interface or the store."""
+    """Verify an exported trail without the operator API or the store."""
     path = Path(context.arguments['FILE'])
     try:
         text = path.read_text(encoding='utf-8')
@@ -58,10 +64,12 @@
         unreadable = records.err_value
         fault = Fault(f'{path} line {unreadable.line}', unreadable.detail)
         return report_faults(context, (fault,))
-    return _verify(context, records.ok_value)
+    return _show_verification(context, records.ok_value)
 
 
-def _verify(context: Context, records: tuple[Change, ...]) -> ExitStatus:
+def _show_verification(
+    context: Context, records: tuple[Change, ...]
+) -> ExitStatus:
     head = context.arguments['--head'] or ''
     verified = verify_trail(records, head)
     if isinstance(verified, Err):
@@ -73,7 +81,7 @@
         )
         return ExitStatus.refused
     trail = verified.ok_value
-    context.console.show(
+    context.console.write_outcome(
         trail,
         (
             f'{trail.records} records, whole up to revision {trail.revision}',
@@ -84,7 +92,7 @@
     return ExitStatus.done
 
 
-def _describe(change: Change) -> Iterator[str]:
+def _format_change(change: Change) -> Iterator[str]:
     time = format_time(change.time)
     yield (
         f'revision {change.revision}  {time}  {change.author}  '
--- a/crocusshunt/ctl/_changes.py
+++ b/crocusshunt/ctl/_changes.py
@@ -1,4 +1,4 @@
-"""Commands that change declared tables and rows."""
+"""Commands that change tables by declarations or single rows."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -11,7 +11,7 @@
 from crocusshunt.core import Fault, Source, convert_fields
 from crocusshunt.ctl._commands import Context, ExitStatus, register_command
 from crocusshunt.ctl._failures import report_failure, report_faults
-from crocusshunt.ctl._proposals import Edits, change_tables, make_plan
+from crocusshunt.ctl._proposals import EditsResult, change_tables, make_plan
 from crocusshunt.declarations import (
     DECLARED_TABLES,
     compare_tables,
@@ -23,39 +23,41 @@
 
 
 @register_command('plan')
-async def plan(context: Context) -> ExitStatus:
-    """Show what applying a directory would do."""
+async def show_plan(context: Context) -> ExitStatus:
+    """Show what applying the declarations of a directory would change."""
     tables = read_declarations(Path(context.arguments['DIR']))
     if isinstance(tables, Err):
         return report_faults(context, tables.err_value.faults)
     snapshot = await context.client.get_snapshot()
     if isinstance(snapshot, Err):
         return report_failure(context, snapshot.err_value)
-    wanted = tables.ok_value
+    desired = tables.ok_value
     planned = make_plan(
         snapshot.ok_value,
-        lambda held: _compare(held, wanted),
+        lambda current: _plan_declarations(current, desired),
     )
     if isinstance(planned, Err):
         return report_faults(context, planned.err_value)
     document = planned.ok_value.document
-    context.console.show(document, document.describe())
+    context.console.write_outcome(document, document.describe())
     return ExitStatus.done
 
 
 @register_command('apply')
-async def apply(context: Context) -> ExitStatus:
-    """Put the declarations of a directory in force."""
+async def apply_declarations(context: Context) -> ExitStatus:
+    """Make the declared tables equal to the declarations of a directory."""
     tables = read_declarations(Path(context.arguments['DIR']))
     if isinstance(tables, Err):
         return report_faults(context, tables.err_value.faults)
-    wanted = tables.ok_value
-    return await change_tables(context, lambda held: _compare(held, wanted))
+    desired = tables.ok_value
+    return await change_tables(
+        context, lambda current: _plan_declarations(current, desired)
+    )
 
 
 @register_command('edit')
 async def edit_row(context: Context) -> ExitStatus:
-    """Change some fields of one row, or add the row."""
+    """Set fields of one row, or add the row if it does not exist."""
     table = context.arguments['TABLE']
     if not is_table(table):
         allowed = ', '.join(list_tables())
@@ -64,7 +66,7 @@
 
 
 async def edit_fields(context: Context, table: str) -> ExitStatus:
-    """Change the assigned fields of the named row of a table."""
+    """Set the fields given on the command line in the named row of a table."""
     values = _parse_assignments(context.arguments['ASSIGNMENT'])
     if isinstance(values, Err):
         return report_faults(context, values.err_value)
@@ -72,7 +74,7 @@
     name = context.arguments['NAME']
     return await change_tables(
         context,
-        lambda held: _edit(held.tables, (table, name), fields),
+        lambda current: _plan_edit(current.tables, (table, name), fields),
     )
 
 
@@ -82,8 +84,8 @@
     table = context.arguments['TABLE']
     name = context.arguments['NAME']
 
-    def plan_removal(held: Snapshot) -> Edits:
-        if name not in held.tables.rows.get(table, {}):
+    def plan_removal(current: Snapshot) -> EditsResult:
+        if name not in current.tables.rows.get(table, {}):
             return Err((Fault(f'{table} {name}', 'does not exist'),))
         return Ok((EditRequest(table, name, None),))
 
@@ -91,24 +93,26 @@
 
 
 @register_command('drain')
-async def drain(context: Context) -> ExitStatus:
-    """Give a backend server no new work."""
+async def drain_server(context: Context) -> ExitStatus:
+    """Stop sending new requests to a backend server."""
     return await _set_state(context, ServerState.draining)
 
 
 @register_command('undrain')
-async def undrain(context: Context) -> ExitStatus:
-    """Give a backend server new work again."""
+async def undrain_server(context: Context) -> ExitStatus:
+    """Send new requests to a drained backend server again."""
     return await _set_state(context, ServerState.active)
 
 
 async def _set_state(context: Context, state: ServerState) -> ExitStatus:
     name = context.arguments['SERVER']
 
-    def plan_state(held: Snapshot) -> Edits:
-        server = held.tables.find(Server, name)
+    def plan_state(current: Snapshot) -> EditsResult:
+        server = current.tables.find(Server, name)
         if server is None:
-            allowed = ', '.join(row.name for row in held.tables.select(Server))
+            allowed = ', '.join(
+                row.name for row in current.tables.select(Server)
+            )
             return Err((Fault(f'server {name}', 'does not exist', allowed),))
         if server.state is state:
             return Ok(())
@@ -118,8 +122,8 @@
     return await change_tables(context, plan_state)
 
 
-def _compare(held: Snapshot, wanted: Tables) -> Edits:
-    return Ok(compare_tables(held.tables, wanted, DECLARED_TABLES))
+def _plan_declarations(current: Snapshot, desired: Tables) -> EditsResult:
+    return Ok(compare_tables(current.tables, desired, DECLARED_TABLES))
 
 
 def _parse_assignments(
@@ -130,24 +134,24 @@
     for text in texts:
         field, separator, given = text.partition('=')
         if not separator or field == 'name':
-            faults.append(Fault(text, 'is no assignment', 'field=value'))
+            faults.append(Fault(text, 'is not an assignment', 'field=value'))
         values[field] = given
     return Err(tuple(faults)) if faults else Ok(values)
 
 
-def _edit(
+def _plan_edit(
     tables: Tables,
     target: tuple[str, str],
     values: dict[str, str],
-) -> Edits:
+) -> EditsResult:
     table, name = target
-    held = tables.rows.get(table, {}).get(name)
-    known = {} if held is None else format_fields(held)
+    current = tables.rows.get(table, {}).get(name)
+    known = {} if current is None else format_fields(current)
     fields = {**known, **values, 'name': name}
     source = Source(f'{table} {name}', is_text=True)
     row = convert_fields(source, fields, find_row_type(table))
     if isinstance(row, Err):
         return row
-    if row.ok_value == held:
+    if row.ok_value == current:
         return Ok(())
     return Ok((EditRequest(table, name, encode_row(row.ok_value)),))
--- a/crocusshunt/ctl/_checks.py
+++ b/crocusshunt/ctl/_checks.py
@@ -1,4 +1,4 @@
-"""Commands that check the platform's files without a running host."""
+"""Commands that validate a host's input files without a running host."""
 
 from collections import Counter
 from pathlib import Path
@@ -14,7 +14,12 @@
 
 
 class CheckedSettings(msgspec.Struct, frozen=True):
-    """What a host would make of its settings file."""
+    """Settings as a host would read them from its settings file.
+
+    :param host: name of the host.
+    :param front: address at which the host accepts requests.
+    :param store: address of the store.
+    """
 
     host: str
     region: str
@@ -24,9 +29,9 @@
 
 
 class CheckedConfiguration(msgspec.Struct, frozen=True):
-    """What a host would make of a configuration.
+    """Size of a configuration as a host would read it.
 
-    :param public_routes: routes that need no key.
+    :param public_routes: number of routes that need no key.
     """
 
     version: int
@@ -39,7 +44,7 @@
 
 @register_command('check', 'settings')
 async def check_settings(context: Context) -> ExitStatus:
-    """Read a settings file as a host would at its start."""
+    """Validate a settings file as a host does when it starts."""
     path = Path(context.arguments['FILE'])
     settings = read_front_settings(path)
     if isinstance(settings, Err):
@@ -58,19 +63,19 @@
         f'({document.region}), requests at {document.front}, '
         f'store at {document.store}'
     )
-    context.console.show(document, (line,))
+    context.console.write_outcome(document, (line,))
     return ExitStatus.done
 
 
 @register_command('check', 'configuration')
 async def check_configuration(context: Context) -> ExitStatus:
-    """Read a configuration as a host would from the store."""
+    """Validate a configuration as a host does, and find contradictions."""
     path = Path(context.arguments['FILE'])
     catalog = _read_catalog(path)
     if isinstance(catalog, Err):
         return report_faults(context, (catalog.err_value,))
     found = catalog.ok_value
-    faults = _find_faults(found)
+    faults = _find_contradictions(found)
     if faults:
         return report_faults(context, faults)
     document = CheckedConfiguration(
@@ -86,7 +91,7 @@
         f'({document.public_routes} public) to {document.pools} pools, '
         f'{document.customers} customers with {document.keys} keys'
     )
-    context.console.show(document, (line,))
+    context.console.write_outcome(document, (line,))
     return ExitStatus.done
 
 
@@ -101,8 +106,12 @@
     return Ok(decoded.ok_value)
 
 
-def _find_faults(catalog: Catalog) -> tuple[Fault, ...]:
-    """Return what a host would take, but no operator can have meant."""
+def _find_contradictions(catalog: Catalog) -> tuple[Fault, ...]:
+    """Return contradictions that a host accepts but that must be mistakes.
+
+    These are routes to pools that are not listed, several routes with the
+    same host and path prefix, and keys that several customers share.
+    """
     pools = {pool.name for pool in catalog.pools}
     faults = [
         Fault(f'route {route.name}', f'pool {target.pool} is not listed')
--- a/crocusshunt/ctl/_commands.py
+++ b/crocusshunt/ctl/_commands.py
@@ -1,4 +1,4 @@
-"""Registry of commands and their exit statuses."""
+"""Registry and execution of commands."""
 
 import sys
 from collections.abc import Awaitable, Callable, Mapping
@@ -15,7 +15,10 @@
 
 
 class ExitStatus(IntEnum):
-    """Exit statuses, as written in the program's help."""
+    """Exit statuses of the program, as its help text lists them.
+
+    ``unknown`` means that the outcome of a change is unknown.
+    """
 
     done = 0
     refused = 1
@@ -26,9 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CommandEnvironment:
-    """What a command takes from outside.
+    """The terminal, identifiers and clock that commands use.
 
-    :param identifiers: source of change ids.
+    :param identifiers: generator of change ids.
     """
 
     console: Console
@@ -38,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Context:
-    """What a command works with."""
+    """Arguments, API client and environment of a running command."""
 
     arguments: Arguments
     client: OperatorClient
@@ -55,7 +58,10 @@
 
 
 def register_command(*words: str) -> Callable[[Command], Command]:
-    """Return a decorator that registers a command by its words."""
+    """Return a decorator that registers a command.
+
+    :param words: command words on the command line, such as ``key grant``.
+    """
 
     def register(function: Command) -> Command:
         _COMMANDS[words] = function
@@ -70,11 +76,12 @@
 ) -> int:
     """Run the command that the parsed command line names.
 
-    :param arguments: result of docopt.
-    :param environment: the process's own terminal if None.
+    :param arguments: command line as parsed by docopt.
+    :param environment: if None, the process's standard streams are used.
+    :return: exit status of the process.
     """
     client = OperatorClient(arguments['--api'], _read_key(arguments['--key']))
-    given = environment or _create_surroundings()
+    given = environment or _create_environment()
     console = replace(given.console, is_json=bool(arguments['--json']))
     context = Context(arguments, client, replace(given, console=console))
     try:
@@ -83,7 +90,7 @@
         await client.close()
 
 
-def _create_surroundings() -> CommandEnvironment:
+def _create_environment() -> CommandEnvironment:
     is_interactive = sys.stdin.isatty() and sys.stderr.isatty()
     return CommandEnvironment(Console(is_interactive=is_interactive))
 
--- a/crocusshunt/ctl/_console.py
+++ b/crocusshunt/ctl/_console.py
@@ -1,4 +1,4 @@
-"""The operator's terminal."""
+"""Input from and output to the operator's terminal."""
 
 import sys
 from collections.abc import Iterable, Sequence
@@ -7,17 +7,19 @@
 
 import msgspec
 
-_GAP = '  '
+_COLUMN_GAP = '  '
 
 
 @dataclass(frozen=True, slots=True)
 class Console:
-    """Where a command writes and asks.
+    """Streams that a command writes to and reads answers from.
 
-    :param output: takes the outcome.
-    :param progress: takes progress and questions.
-    :param answers: gives the operator's answers.
-    :param is_interactive: whether somebody is there to answer.
+    :param output: stream for the outcome, by default standard output.
+    :param progress: stream for progress and questions, by default standard
+        error.
+    :param answers: stream of the operator's answers, by default standard
+        input.
+    :param is_interactive: whether an operator can answer questions.
     :param is_json: whether the outcome is written as JSON.
     """
 
@@ -27,11 +29,11 @@
     is_interactive: bool = False
     is_json: bool = False
 
-    def show(self, document: Any, lines: Iterable[str]) -> None:
-        """Write an outcome, as one JSON line or as text.
+    def write_outcome(self, document: Any, lines: Iterable[str]) -> None:
+        """Write the outcome of a command, as one line of JSON or as text.
 
-        :param document: the outcome as data.
-        :param lines: the outcome for people.
+        :param document: the outcome to encode as JSON.
+        :param lines: the outcome as lines of text.
         """
         if self.is_json:
             lines = (msgspec.json.encode(document).decode(),)
@@ -39,13 +41,13 @@
             self.output.write(f'{line}\n')
         self.output.flush()
 
-    def note(self, line: str) -> None:
-        """Write a line of progress, which is no part of the outcome."""
+    def write_progress(self, line: str) -> None:
+        """Write a progress line, which is not part of the outcome."""
         self.progress.write(f'{line}\n')
         self.progress.flush()
 
     def confirm(self, question: str) -> bool:
-        """Ask a question; only ``yes`` is a yes."""
+        """Ask for confirmation; only the answer ``yes`` confirms."""
         self.progress.write(f'{question} Type yes to go on: ')
         self.progress.flush()
         return self.answers.readline().strip() == 'yes'
@@ -66,7 +68,7 @@
         for column in range(len(titles))
     ]
     return tuple(
-        _GAP.join(
+        _COLUMN_GAP.join(
             cell.ljust(width) for cell, width in zip(text, widths, strict=True)
         ).rstrip()
         for text in texts
--- a/crocusshunt/ctl/_failures.py
+++ b/crocusshunt/ctl/_failures.py
@@ -1,4 +1,4 @@
-"""What operators are told about a failure, and what to do next."""
+"""Reports of failed commands, each with the operator's next step."""
 
 from collections.abc import Iterable, Mapping
 
@@ -9,11 +9,11 @@
 from crocusshunt.core import Fault
 from crocusshunt.ctl._commands import Context, ExitStatus
 
-_WAIT = (
+_WAIT_FOR_STORE = (
     'wait until "crocusctl status" shows a small evidence age, '
     'then repeat as shown'
 )
-_UNKNOWN_CODES = frozenset(
+_UNKNOWN_OUTCOME_CODES = frozenset(
     ('unknown-outcome', 'store-unreachable', 'store-unavailable'),
 )
 _NEXT_STEPS: Mapping[str, str] = {
@@ -25,8 +25,8 @@
         'read the other change with "crocusctl history", then plan again'
     ),
     'invalid-change': 'correct the rows named above, then repeat',
-    'store-unreachable': _WAIT,
-    'store-unavailable': _WAIT,
+    'store-unreachable': _WAIT_FOR_STORE,
+    'store-unavailable': _WAIT_FOR_STORE,
     'witnesses-missing': (
         'start the missing crocus-api processes, then repeat as shown; '
         'docs/operators/alarms.md says what to do if one is gone for good'
@@ -35,13 +35,13 @@
     'unknown-outcome': 'repeat as shown; it is applied at most once',
 }
 _CHECK_API = 'check --api and that crocus-api runs'
-_TELL = 'read docs/operators/alarms.md'
+_READ_ALARMS_PAGE = 'read docs/operators/alarms.md'
 
 
 class FailureDocument(msgspec.Struct, frozen=True):
-    """A failed command.
+    """Report of a failed command.
 
-    :param next_step: what to do.
+    :param next_step: what the operator should do next.
     """
 
     code: str
@@ -51,10 +51,10 @@
 
 
 def report_failure(context: Context, error: ApiError) -> ExitStatus:
-    """Tell what failed and what to do next; return the exit status."""
+    """Report a failed API call and return the exit status."""
     document = _describe(error)
-    _show(context, document)
-    is_unknown = document.code in _UNKNOWN_CODES
+    _show_document(context, document)
+    is_unknown = document.code in _UNKNOWN_OUTCOME_CODES
     if isinstance(error, UnreachableApiError) or is_unknown:
         return ExitStatus.unknown
     return ExitStatus.refused
@@ -65,10 +65,10 @@
     faults: Iterable[Fault],
     next_step: str = 'correct the input, then repeat',
 ) -> ExitStatus:
-    """Tell what is wrong in the operator's input."""
+    """Report faults in the operator's input and return the exit status."""
     texts = tuple(str(fault) for fault in faults)
     document = FailureDocument('wrong-input', 'nothing done', next_step, texts)
-    _show(context, document)
+    _show_document(context, document)
     return ExitStatus.wrong_input
 
 
@@ -78,8 +78,8 @@
     detail: str,
     next_step: str,
 ) -> None:
-    """Tell why a command was not carried out."""
-    _show(context, FailureDocument(code, detail, next_step))
+    """Report why a command was not carried out."""
+    _show_document(context, FailureDocument(code, detail, next_step))
 
 
 def _describe(error: ApiError) -> FailureDocument:
@@ -88,13 +88,13 @@
     document = error.document
     return FailureDocument(
         document.code,
-        '' if document.faults else _shorten(document),
-        _NEXT_STEPS.get(document.code, _TELL),
+        '' if document.faults else _describe_detail(document),
+        _NEXT_STEPS.get(document.code, _READ_ALARMS_PAGE),
         document.faults,
     )
 
 
-def _shorten(document: ErrorDocument) -> str:
+def _describe_detail(document: ErrorDocument) -> str:
     conflict = document.conflict
     if conflict is not None:
         rows = ', '.join(f'{edit.table} {edit.name}' for edit in conflict.edits)
@@ -105,11 +105,11 @@
     return document.detail.removeprefix(f'{document.code}: ')
 
 
-def _show(context: Context, document: FailureDocument) -> None:
+def _show_document(context: Context, document: FailureDocument) -> None:
     first = document.code
     if document.detail:
         first = f'{document.code}: {document.detail}'
-    context.console.show(
+    context.console.write_outcome(
         document,
         (first, *document.faults, f'next: {document.next_step}'),
     )
--- a/crocusshunt/ctl/_keys.py
+++ b/crocusshunt/ctl/_keys.py
@@ -1,7 +1,8 @@
-"""Commands that grant and withdraw callers' and operators' keys.
+"""Commands that grant and withdraw keys of customers and operators.
 
-The secret is in a file before anything is proposed, and a repeated command
-reads it from there: what is granted is always what the file holds.
+The secret is written to a file before the change is proposed, and a repeated
+command reads it from that file, so the granted key is always the one in the
+file.
 """
 
 import os
@@ -17,7 +18,7 @@
 from crocusshunt.ctl._commands import Context, ExitStatus, register_command
 from crocusshunt.ctl._console import format_table
 from crocusshunt.ctl._failures import report_failure, report_faults
-from crocusshunt.ctl._proposals import Edits, change_tables
+from crocusshunt.ctl._proposals import EditsResult, change_tables
 from crocusshunt.keys import (
     Key,
     KeyState,
@@ -33,25 +34,25 @@
 
 @register_command('key', 'grant')
 async def grant_key(context: Context) -> ExitStatus:
-    """Grant a customer a key, whose secret a file holds."""
+    """Grant a customer a key and keep its secret in a file."""
     name = context.arguments['NAME']
-    secret = _provide_secret(context, name)
+    secret = _read_or_create_secret(context, name)
     if isinstance(secret, Err):
         return report_faults(context, (secret.err_value,))
     row = Key(name, context.arguments['CUSTOMER'], digest_key(secret.ok_value))
     return await change_tables(
         context,
-        lambda held: _plan_grant(held.tables, row),
+        lambda current: _plan_grant(current.tables, row),
     )
 
 
 @register_command('key', 'withdraw')
 async def withdraw_key(context: Context) -> ExitStatus:
-    """Stop honouring a key."""
+    """Withdraw a customer's key, so that it is no longer accepted."""
     name = context.arguments['NAME']
 
-    def plan_withdrawal(held: Snapshot) -> Edits:
-        key = held.tables.find(Key, name)
+    def plan_withdrawal(current: Snapshot) -> EditsResult:
+        key = current.tables.find(Key, name)
         if key is None:
             return Err((Fault(f'key {name}', 'does not exist'),))
         if key.state is KeyState.withdrawn:
@@ -64,13 +65,13 @@
 
 @register_command('key', 'list')
 async def list_keys(context: Context) -> ExitStatus:
-    """Show the keys, never their secrets."""
+    """Show the name, customer and state of each key, never its secret."""
     snapshot = await context.client.get_snapshot()
     if isinstance(snapshot, Err):
         return report_failure(context, snapshot.err_value)
     keys = snapshot.ok_value.tables.select(Key)
     rows = [(key.name, key.customer, key.state.value) for key in keys]
-    context.console.show(
+    context.console.write_outcome(
         [
             {'name': name, 'customer': customer, 'state': state}
             for name, customer, state in rows
@@ -82,12 +83,12 @@
 
 @register_command('operator', 'create')
 async def create_operator(context: Context) -> ExitStatus:
-    """Make the key of the first operator and show its digest."""
-    secret = _provide_secret(context, context.arguments['NAME'])
+    """Create the first operator's key and show the digest for the settings."""
+    secret = _read_or_create_secret(context, context.arguments['NAME'])
     if isinstance(secret, Err):
         return report_faults(context, (secret.err_value,))
     digest = digest_key(secret.ok_value)
-    context.console.show(
+    context.console.write_outcome(
         {'bootstrap_digest': digest},
         (f'bootstrap_digest = {digest}',),
     )
@@ -96,63 +97,68 @@
 
 @register_command('operator', 'grant')
 async def grant_operator(context: Context) -> ExitStatus:
-    """Give an operator a key of their own, with a role."""
+    """Grant an operator a key with a role."""
     name = context.arguments['NAME']
     roles: Mapping[str, Role] = {role.value: role for role in Role}
     role = roles.get(context.arguments['ROLE'])
     if role is None:
-        fault = Fault('ROLE', 'is no role', ', '.join(roles))
+        fault = Fault('ROLE', 'is not a role', ', '.join(roles))
         return report_faults(context, (fault,))
-    secret = _provide_secret(context, name)
+    secret = _read_or_create_secret(context, name)
     if isinstance(secret, Err):
         return report_faults(context, (secret.err_value,))
     row = Operator(name, role, digest_key(secret.ok_value))
     edit = EditRequest('operator', name, encode_row(row))
     return await change_tables(
         context,
-        lambda held: Ok(
-            () if held.tables.find(Operator, name) == row else (edit,),
+        lambda current: Ok(
+            () if current.tables.find(Operator, name) == row else (edit,),
         ),
     )
 
 
 @register_command('operator', 'withdraw')
 async def withdraw_operator(context: Context) -> ExitStatus:
-    """Stop honouring an operator's key."""
+    """Withdraw an operator's key, so that it is no longer accepted."""
     name = context.arguments['NAME']
 
-    def plan_withdrawal(held: Snapshot) -> Edits:
-        if held.tables.find(Operator, name) is None:
+    def plan_withdrawal(current: Snapshot) -> EditsResult:
+        if current.tables.find(Operator, name) is None:
             return Err((Fault(f'operator {name}', 'does not exist'),))
         return Ok((EditRequest('operator', name, None),))
 
     return await change_tables(context, plan_withdrawal)
 
 
-def _plan_grant(tables: Tables, row: Key) -> Edits:
-    held = tables.find(Key, row.name)
-    if held is None:
+def _plan_grant(tables: Tables, row: Key) -> EditsResult:
+    current = tables.find(Key, row.name)
+    if current is None:
         return Ok((EditRequest('key', row.name, encode_row(row)),))
-    if held == row:
+    if current == row:
         return Ok(())
-    problem = f'exists already, of {held.customer}, {held.state.value}'
-    return Err((Fault(f'key {row.name}', problem, 'a name not used before'),))
+    problem = (
+        f'already exists: customer {current.customer}, '
+        f'state {current.state.value}'
+    )
+    return Err((Fault(f'key {row.name}', problem, 'an unused name'),))
 
 
-def _provide_secret(context: Context, name: str) -> Result[str, Fault]:
+def _read_or_create_secret(context: Context, name: str) -> Result[str, Fault]:
     path = Path(context.arguments['--secret-file'] or f'{name}.key')
     try:
-        secret = _open_secret(path, name)
+        secret = _open_or_create_secret(path, name)
     except OSError as error:
         return Err(Fault(str(path), str(error), 'a file that can be written'))
     if extract_key_name(secret) != name:
         allowed = f'a new file, or the key of {name}'
         return Err(Fault(str(path), 'holds another key', allowed))
-    context.console.note(f'the secret is in {path}; it works once accepted')
+    context.console.write_progress(
+        f'the secret is in {path}; it works once accepted'
+    )
     return Ok(secret)
 
 
-def _open_secret(path: Path, name: str) -> str:
+def _open_or_create_secret(path: Path, name: str) -> str:
     if path.exists():
         return path.read_text(encoding='utf-8').strip()
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
--- a/crocusshunt/ctl/_movements.py
+++ b/crocusshunt/ctl/_load_shifting.py
@@ -1,4 +1,4 @@
-"""Commands that move load: shifts, and drains of more than one server."""
+"""Commands that move load: shifts, and drains of several servers at once."""
 
 from result import Err, Ok
 
@@ -14,12 +14,12 @@
 )
 from crocusshunt.ctl._console import format_table
 from crocusshunt.ctl._failures import report_failure
-from crocusshunt.ctl._proposals import Edits, change_tables
+from crocusshunt.ctl._proposals import EditsResult, change_tables
 from crocusshunt.drains import Drain, DrainKind
 from crocusshunt.shifts import Shift, ShiftCommand, list_commands
 
-_TITLES = ('NAME', 'POOL', 'FROM', 'TO', 'SHARE', 'MOVED', 'STATE')
-_PARTS = (
+_COLUMN_TITLES = ('NAME', 'POOL', 'FROM', 'TO', 'SHARE', 'MOVED', 'STATE')
+_DRAIN_KINDS = (
     DrainKind.pool,
     DrainKind.host,
     DrainKind.failure_domain,
@@ -29,19 +29,19 @@
 
 @register_command('shift', 'create')
 async def create_shift(context: Context) -> ExitStatus:
-    """Plan a shift; nothing moves until it is started."""
+    """Add a shift; it moves no load until it is started."""
     return await edit_fields(context, 'shift')
 
 
 @register_command('shift', 'list')
 async def list_shifts(context: Context) -> ExitStatus:
-    """Show the shifts and how far they are."""
+    """Show the shifts and their progress."""
     snapshot = await context.client.get_snapshot()
     if isinstance(snapshot, Err):
         return report_failure(context, snapshot.err_value)
     shifts = snapshot.ok_value.tables.select(Shift)
-    rows = [_list_columns(shift) for shift in shifts]
-    context.console.show(shifts, format_table(_TITLES, rows))
+    rows = [_format_columns(shift) for shift in shifts]
+    context.console.write_outcome(shifts, format_table(_COLUMN_TITLES, rows))
     return ExitStatus.done
 
 
@@ -50,16 +50,18 @@
         name = context.arguments['NAME']
         return await change_tables(
             context,
-            lambda held: _advance(held, name, command),
+            lambda current: _plan_shift_command(current, name, command),
         )
 
     return run
 
 
-def _advance(held: Snapshot, name: str, command: ShiftCommand) -> Edits:
-    shift = held.tables.find(Shift, name)
+def _plan_shift_command(
+    current: Snapshot, name: str, command: ShiftCommand
+) -> EditsResult:
+    shift = current.tables.find(Shift, name)
     if shift is None:
-        names = ', '.join(row.name for row in held.tables.select(Shift))
+        names = ', '.join(row.name for row in current.tables.select(Shift))
         fault = Fault(f'shift {name}', 'does not exist', names or 'none yet')
         return Err((fault,))
     changed = command(shift)
@@ -72,7 +74,7 @@
     return Ok((EditRequest('shift', name, encode_row(changed.ok_value)),))
 
 
-def _create_drain(kind: DrainKind) -> Command:
+def _create_drain_command(kind: DrainKind) -> Command:
     async def run(context: Context) -> ExitStatus:
         target = context.arguments['TARGET']
         drain = Drain(
@@ -83,33 +85,35 @@
         )
         return await change_tables(
             context,
-            lambda held: _put_drain(held, drain),
+            lambda current: _plan_drain(current, drain),
         )
 
     return run
 
 
-def _put_drain(held: Snapshot, drain: Drain) -> Edits:
-    if held.tables.find(Drain, drain.name) == drain:
+def _plan_drain(current: Snapshot, drain: Drain) -> EditsResult:
+    if current.tables.find(Drain, drain.name) == drain:
         return Ok(())
     return Ok((EditRequest('drain', drain.name, encode_row(drain)),))
 
 
-def _create_undrain(kind: DrainKind) -> Command:
+def _create_undrain_command(kind: DrainKind) -> Command:
     async def run(context: Context) -> ExitStatus:
         target = context.arguments['TARGET']
         return await change_tables(
             context,
-            lambda held: _remove_drains(held, kind, target),
+            lambda current: _plan_undrain(current, kind, target),
         )
 
     return run
 
 
-def _remove_drains(held: Snapshot, kind: DrainKind, target: str) -> Edits:
+def _plan_undrain(
+    current: Snapshot, kind: DrainKind, target: str
+) -> EditsResult:
     edits = tuple(
         EditRequest('drain', drain.name, None)
-        for drain in held.tables.select(Drain)
+        for drain in current.tables.select(Drain)
         if drain.kind is kind and drain.target == target
     )
     if not edits:
@@ -121,7 +125,7 @@
     return f'{kind.value}-{target}'.replace('_', '-')
 
 
-def _list_columns(shift: Shift) -> list[str]:
+def _format_columns(shift: Shift) -> list[str]:
     return [
         shift.name,
         shift.pool,
@@ -133,12 +137,12 @@
     ]
 
 
-def _register_all() -> None:
+def _register_commands() -> None:
     for word, command in list_commands().items():
         register_command('shift', word)(_create_shift_command(command))
-    for kind in _PARTS:
-        register_command('drain', kind.value)(_create_drain(kind))
-        register_command('undrain', kind.value)(_create_undrain(kind))
+    for kind in _DRAIN_KINDS:
+        register_command('drain', kind.value)(_create_drain_command(kind))
+        register_command('undrain', kind.value)(_create_undrain_command(kind))
 
 
-_register_all()
+_register_commands()
--- a/crocusshunt/ctl/_proposals.py
+++ b/crocusshunt/ctl/_proposals.py
@@ -1,8 +1,9 @@
-"""The one way in which commands change tables.
+"""Planning, confirmation and proposal of changes to tables.
 
-A command that is repeated with the change id and revision that it printed is
-applied at most once: an id that was accepted is only read, and one that was
-not is proposed from the revision of the first attempt.
+Every command that changes tables does so through ``change_tables``. A command
+that is repeated with the change id and revision that it printed is applied at
+most once. If the change id was accepted, the change is only read; otherwise
+it is proposed again on the revision of the first attempt.
 """
 
 from collections.abc import Callable
@@ -30,14 +31,14 @@
 )
 
 NOT_ACCEPTED = 'not-accepted'
-Edits = Result[tuple[EditRequest, ...], tuple[Fault, ...]]
-Planner = Callable[[Snapshot], Edits]
+EditsResult = Result[tuple[EditRequest, ...], tuple[Fault, ...]]
+Planner = Callable[[Snapshot], EditsResult]
 
 
 class PlanDocument(msgspec.Struct, frozen=True):
-    """What a change would do.
+    """The row changes of a plan and their consequences.
 
-    :param revision: revision that it was planned from.
+    :param revision: revision that the plan is based on.
     """
 
     revision: int
@@ -56,7 +57,10 @@
 
 
 class OutcomeDocument(msgspec.Struct, frozen=True):
-    """An accepted change."""
+    """An accepted change.
+
+    :param is_repeated: whether it had been accepted before this command.
+    """
 
     change_id: str
     revision: int
@@ -65,14 +69,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Edits, and what they would do."""
+    """Edits and the description of their effects."""
 
     edits: tuple[EditRequest, ...]
     document: PlanDocument
 
     @property
     def is_dangerous(self) -> bool:
-        """Tell whether an operator must confirm."""
+        """Return whether an operator must confirm the plan."""
         return any(
             one.severity is Severity.danger
             for one in self.document.consequences
@@ -82,21 +86,23 @@
 async def change_tables(context: Context, planner: Planner) -> ExitStatus:
     """Plan, confirm and propose one change.
 
-    :param planner: returns the edits of the tables in force.
+    :param planner: computes the edits from the tables in force.
     """
     expected = context.arguments['--from']
     if expected and not expected.isdecimal():
-        fault = Fault('--from', f"'{expected}' is no revision", 'a number')
+        fault = Fault(
+            '--from', f"'{expected}' is not a revision number", 'a number'
+        )
         return report_faults(context, (fault,))
-    known = await _find_known(context)
-    if isinstance(known, Err):
-        return report_failure(context, known.err_value)
-    if known.ok_value is not None:
-        return _report_known(context, known.ok_value)
-    return await _change_once(context, planner)
+    accepted = await _find_accepted_change(context)
+    if isinstance(accepted, Err):
+        return report_failure(context, accepted.err_value)
+    if accepted.ok_value is not None:
+        return _report_repeated_change(context, accepted.ok_value)
+    return await _plan_and_propose(context, planner)
 
 
-async def _change_once(context: Context, planner: Planner) -> ExitStatus:
+async def _plan_and_propose(context: Context, planner: Planner) -> ExitStatus:
     snapshot = await context.client.get_snapshot()
     if isinstance(snapshot, Err):
         return report_failure(context, snapshot.err_value)
@@ -104,32 +110,32 @@
     if isinstance(plan, Err):
         return report_faults(context, plan.err_value)
     if not plan.ok_value.edits:
-        return _report_nothing(context, plan.ok_value)
+        return _report_no_difference(context, plan.ok_value)
     if not _is_confirmed(context, plan.ok_value):
         return ExitStatus.unconfirmed
     return await _propose(context, plan.ok_value)
 
 
 def make_plan(
-    held: Snapshot,
+    current: Snapshot,
     planner: Planner,
 ) -> Result[Plan, tuple[Fault, ...]]:
-    """Return what a change would do, or every fault that it has."""
-    edits = planner(held)
+    """Return the plan of a change, or all its faults."""
+    edits = planner(current)
     if isinstance(edits, Err):
         return edits
-    wanted = preview_edits(held.tables, edits.ok_value)
-    if isinstance(wanted, Err):
-        return wanted
+    planned_tables = preview_edits(current.tables, edits.ok_value)
+    if isinstance(planned_tables, Err):
+        return planned_tables
     document = PlanDocument(
-        held.revision,
-        compare_rows(held.tables, edits.ok_value),
-        find_consequences(held.tables, wanted.ok_value),
+        current.revision,
+        compare_rows(current.tables, edits.ok_value),
+        find_consequences(current.tables, planned_tables.ok_value),
     )
     return Ok(Plan(edits.ok_value, document))
 
 
-async def _find_known(
+async def _find_accepted_change(
     context: Context,
 ) -> Result[Change | None, ApiError]:
     change_id = context.arguments['--change-id']
@@ -148,7 +154,7 @@
     return changes.map(lambda listed: listed[0])
 
 
-def _report_known(context: Context, change: Change) -> ExitStatus:
+def _report_repeated_change(context: Context, change: Change) -> ExitStatus:
     if change.reason != context.arguments['--reason']:
         report_refusal(
             context,
@@ -164,8 +170,8 @@
     )
 
 
-def _report_nothing(context: Context, plan: Plan) -> ExitStatus:
-    context.console.show(plan.document, plan.document.describe())
+def _report_no_difference(context: Context, plan: Plan) -> ExitStatus:
+    context.console.write_outcome(plan.document, plan.document.describe())
     return ExitStatus.done
 
 
@@ -175,13 +181,13 @@
 ) -> ExitStatus:
     suffix = ' before; nothing was sent again' if document.is_repeated else ''
     line = f'accepted as revision {document.revision}{suffix}'
-    context.console.show(document, (line,))
+    context.console.write_outcome(document, (line,))
     return ExitStatus.done
 
 
 def _is_confirmed(context: Context, plan: Plan) -> bool:
     for line in plan.document.describe():
-        context.console.note(line)
+        context.console.write_progress(line)
     if not plan.is_dangerous or context.arguments['--yes']:
         return True
     if not context.console.is_interactive:
@@ -208,7 +214,9 @@
         edits=plan.edits,
     )
     repetition = f'--change-id={proposal.change_id} --from={proposal.expected}'
-    context.console.note(f'if the answer is lost, repeat with {repetition}')
+    context.console.write_progress(
+        f'if the answer is lost, repeat with {repetition}'
+    )
     accepted = await context.client.propose(proposal)
     if isinstance(accepted, Err):
         return report_failure(context, accepted.err_value)
--- a/crocusshunt/ctl/_queries.py
+++ b/crocusshunt/ctl/_queries.py
@@ -1,4 +1,4 @@
-"""Commands that change nothing."""
+"""Commands that only read."""
 
 from collections import Counter
 from datetime import UTC, datetime
@@ -20,7 +20,7 @@
 
 
 class RowDocument(msgspec.Struct, frozen=True):
-    """A row in force."""
+    """A row in force, with its fields as JSON."""
 
     table: str
     name: str
@@ -28,8 +28,8 @@
 
 
 @register_command('validate')
-async def validate(context: Context) -> ExitStatus:
-    """Check the declarations of a directory."""
+async def validate_declarations(context: Context) -> ExitStatus:
+    """Validate the declarations of a directory."""
     tables = read_declarations(Path(context.arguments['DIR']))
     if isinstance(tables, Err):
         return report_faults(context, tables.err_value.faults)
@@ -42,31 +42,31 @@
     shown = ', '.join(
         f'{count} {table}' for table, count in sorted(counts.items())
     )
-    context.console.show({'valid': counts}, (f'valid: {shown}',))
+    context.console.write_outcome({'valid': counts}, (f'valid: {shown}',))
     return ExitStatus.done
 
 
 @register_command('get')
-async def get(context: Context) -> ExitStatus:
-    """Show the rows in force."""
+async def show_rows(context: Context) -> ExitStatus:
+    """Show the rows in force, of all tables, one table or one name."""
     snapshot = await context.client.get_snapshot()
     if isinstance(snapshot, Err):
         return report_failure(context, snapshot.err_value)
     arguments = context.arguments
-    wanted = (arguments['TABLE'], arguments['NAME'])
-    if wanted[0] and not is_table(wanted[0]):
-        fault = Fault(wanted[0], 'unknown table', ', '.join(list_tables()))
+    selected = (arguments['TABLE'], arguments['NAME'])
+    if selected[0] and not is_table(selected[0]):
+        fault = Fault(selected[0], 'unknown table', ', '.join(list_tables()))
         return report_faults(context, (fault,))
     rows = [
         RowDocument(table, name, msgspec.Raw(encode_row(row).encode()))
         for table, named in sorted(snapshot.ok_value.tables.rows.items())
         for name, row in sorted(named.items())
-        if wanted[0] in {None, table} and wanted[1] in {None, name}
+        if selected[0] in {None, table} and selected[1] in {None, name}
     ]
-    if wanted[1] and not rows:
-        fault = Fault(f'{wanted[0]} {wanted[1]}', 'does not exist')
+    if selected[1] and not rows:
+        fault = Fault(f'{selected[0]} {selected[1]}', 'does not exist')
         return report_faults(context, (fault,))
-    context.console.show(
+    context.console.write_outcome(
         rows,
         format_table(
             ('TABLE', 'NAME', 'ROW'),
@@ -78,7 +78,7 @@
 
 @register_command('export')
 async def export_declarations(context: Context) -> ExitStatus:
-    """Write the declared tables in force to a new directory."""
+    """Write the tables in force as declarations to a new directory."""
     snapshot = await context.client.get_snapshot()
     if isinstance(snapshot, Err):
         return report_failure(context, snapshot.err_value)
@@ -92,7 +92,7 @@
         fault = Fault(str(directory), str(error), 'a new directory')
         return report_faults(context, (fault,))
     revision = snapshot.ok_value.revision
-    context.console.show(
+    context.console.write_outcome(
         {'revision': revision, 'files': tuple(files)},
         (f'revision {revision}: {", ".join(files)} in {directory}',),
     )
@@ -105,11 +105,11 @@
     changes = await context.client.list_all_changes()
     if isinstance(changes, Err):
         return report_failure(context, changes.err_value)
-    context.console.show(
+    context.console.write_outcome(
         changes.ok_value,
         format_table(
             ('REVISION', 'TIME (UTC)', 'AUTHOR', 'ROWS', 'REASON'),
-            [_list_columns(change) for change in changes.ok_value],
+            [_format_columns(change) for change in changes.ok_value],
         ),
     )
     return ExitStatus.done
@@ -117,23 +117,23 @@
 
 @register_command('status')
 async def show_status(context: Context) -> ExitStatus:
-    """Show the state of the interface process that answers."""
+    """Show the status of the API process that answers."""
     status = await context.client.get_status()
     if isinstance(status, Err):
         return report_failure(context, status.err_value)
-    held = status.ok_value
+    document = status.ok_value
     age = 'never read'
-    if held.evidence_age_s is not None:
-        age = f'read {held.evidence_age_s:.1f} s ago'
-    context.console.show(
-        held,
-        (f'{held.host}: revision {held.revision}, store {age}',),
+    if document.evidence_age_s is not None:
+        age = f'read {document.evidence_age_s:.1f} s ago'
+    context.console.write_outcome(
+        document,
+        (f'{document.host}: revision {document.revision}, store {age}',),
     )
     return ExitStatus.done
 
 
 def format_time(seconds: float) -> str:
-    """Return a time in UTC.
+    """Format a time in UTC.
 
     :param seconds: seconds since the Unix epoch.
 
@@ -143,7 +143,7 @@
     return datetime.fromtimestamp(seconds, UTC).strftime(_TIME_FORMAT)
 
 
-def _list_columns(change: Change) -> tuple[object, ...]:
+def _format_columns(change: Change) -> tuple[object, ...]:
     return (
         change.revision,
         format_time(change.time),
--- a/crocusshunt/ctl/_requests.py
+++ b/crocusshunt/ctl/_request_logs.py
@@ -1,4 +1,4 @@
-"""Commands that read the log lines of ended requests."""
+"""Commands that evaluate gateways' log lines of ended requests."""
 
 import asyncio
 from collections.abc import Sequence
@@ -21,8 +21,8 @@
 )
 from crocusshunt.routing import Customer
 
-_TOP_PERIOD_S = 1
-_TITLES = (
+_REFRESH_PERIOD_S = 1
+_COLUMN_TITLES = (
     'CUSTOMER',
     'REQUESTS',
     'ANSWERED',
@@ -33,12 +33,12 @@
     'P99 MS',
 )
 
-_Lines = Result[list[str], tuple[Fault, ...]]
+_LogLines = Result[list[str], tuple[Fault, ...]]
 
 
 @register_command('explain')
-async def explain(context: Context) -> ExitStatus:
-    """Show why a request went where it went, or was refused."""
+async def show_explanation(context: Context) -> ExitStatus:
+    """Show why a request was sent to its backend server, or was refused."""
     lines = _read_logs(context)
     if isinstance(lines, Err):
         return report_faults(context, lines.err_value)
@@ -48,37 +48,39 @@
         report_refusal(
             context,
             explained.err_value.code,
-            f'no line tells of {request_id}',
+            f'no log line mentions {request_id}',
             'give the logs of every gateway with --log=FILE',
         )
         return ExitStatus.refused
     explanation = explained.ok_value
-    context.console.show(explanation, explanation.describe())
+    context.console.write_outcome(explanation, explanation.describe())
     return ExitStatus.done
 
 
 @register_command('top')
 async def show_top(context: Context) -> ExitStatus:
-    """Show how each customer fares, once or several times."""
+    """Show request counts and latencies per customer, once or repeatedly."""
     count = context.arguments['--count']
     if not count.isdecimal() or not int(count):
         fault = Fault('--count', f"'{count}'", 'a whole number from 1')
         return report_faults(context, (fault,))
-    for turn in range(int(count)):
-        if turn:
-            await asyncio.sleep(_TOP_PERIOD_S)
+    for repetition in range(int(count)):
+        if repetition:
+            await asyncio.sleep(_REFRESH_PERIOD_S)
         summary = _summarize(context)
         if isinstance(summary, Err):
             return report_faults(context, summary.err_value)
         customers = summary.ok_value.customers
-        rows = [_list_columns(customer) for customer in customers]
-        context.console.show(customers, format_table(_TITLES, rows))
+        rows = [_format_columns(customer) for customer in customers]
+        context.console.write_outcome(
+            customers, format_table(_COLUMN_TITLES, rows)
+        )
     return ExitStatus.done
 
 
 @register_command('report')
 async def write_report(context: Context) -> ExitStatus:
-    """Write the figures and plots of a run as a page."""
+    """Write a report with figures and plots as an HTML page."""
     summary = _summarize(context)
     if isinstance(summary, Err):
         return report_faults(context, summary.err_value)
@@ -89,7 +91,7 @@
     except OSError as error:
         return report_faults(context, (Fault(str(path), str(error)),))
     count = summary.ok_value.requests
-    context.console.show(
+    context.console.write_outcome(
         {'requests': count, 'page': str(path)},
         (f'{count} requests in {path}',),
     )
@@ -111,7 +113,7 @@
     return Ok(summarize(read_requests(lines.ok_value), rates))
 
 
-def _read_logs(context: Context) -> _Lines:
+def _read_logs(context: Context) -> _LogLines:
     lines: list[str] = []
     for path in context.arguments['--log']:
         try:
@@ -122,14 +124,14 @@
     return Ok(lines)
 
 
-def _list_columns(one: CustomerSummary) -> Sequence[object]:
+def _format_columns(customer: CustomerSummary) -> Sequence[object]:
     return [
-        one.name,
-        one.requests,
-        one.answered,
-        one.refused,
-        '-' if one.wrongful is None else one.wrongful,
-        one.unknown,
-        f'{one.median_ms:.1f}',
-        f'{one.tail_ms:.1f}',
+        customer.name,
+        customer.requests,
+        customer.answered,
+        customer.refused,
+        '-' if customer.wrongful is None else customer.wrongful,
+        customer.unknown,
+        f'{customer.median_ms:.1f}',
+        f'{customer.tail_ms:.1f}',
     ]
--- a/crocusshunt/ctl/tests/test_checks.py
+++ b/crocusshunt/ctl/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Checks of the platform's files, as an operator calls them."""
+"""Command-line checks of a host's settings and configuration files."""
 
 import io
 from pathlib import Path
@@ -34,7 +34,7 @@
     return status, output + progress
 
 
-async def test_settings_of_a_host_are_read_as_the_host_reads_them(
+async def test_valid_settings_are_described(
     tmp_path: Path,
 ) -> None:
     host = HostDocument('h1', 'a1', 20_000, '127.0.0.1:9')
@@ -64,7 +64,7 @@
     assert status == 2
 
 
-async def test_good_configuration_is_summed_up(tmp_path: Path) -> None:
+async def test_valid_configuration_is_summarized(tmp_path: Path) -> None:
     content = encode_configuration(
         12, [describe_route()], [_COURT], pools=['pool']
     )
@@ -89,7 +89,7 @@
         ),
     ],
 )
-async def test_contradictions_are_named(
+async def test_contradictions_are_reported(
     tmp_path: Path,
     routes: list[dict[str, Any]],
     customers: list[CustomerDocument],
