--- a/crocusshunt/controller/__init__.py
+++ b/crocusshunt/controller/__init__.py
@@ -1,4 +1,8 @@
-"""The control process of a host."""
+"""The control process of a host.
+
+It follows the configuration, takes part in membership, lends customers'
+admission tokens and advances traffic shifts.
+"""
 
 from crocusshunt.controller._lending import Lending, LendingContext
 from crocusshunt.controller._service import ControllerService
--- a/crocusshunt/controller/_presence.py
+++ b/crocusshunt/controller/_gateway_monitor.py
@@ -1,4 +1,4 @@
-"""Takes a host off the locators while its gateway is gone."""
+"""Takes a host out of the locators' answers while its gateway is down."""
 
 import asyncio
 
@@ -12,18 +12,22 @@
 from crocusshunt.messages import Body, GatewayHeartbeat, HeartbeatNoted
 
 
-class PresenceWatch:
-    """Turns heartbeats of the gateway into leaving and coming back."""
+class GatewayMonitor:
+    """Watches the heartbeats of this host's gateway.
+
+    While the gateway is leaving or silent, the host announces to the other
+    hosts that it is leaving.
+    """
 
     def __init__(self, membership: MembershipService, clock: Clock) -> None:
-        """Start without a heartbeat."""
+        """Start before the first heartbeat."""
         self._membership = membership
         self._clock = clock
         self._presence = GatewayPresence()
         self._is_gone = False
 
     async def answer(self, heartbeat: GatewayHeartbeat) -> Body:
-        """Keep a heartbeat; what it changes is spread at once."""
+        """Record a heartbeat and announce at once what it changes."""
         self._presence.note(
             self._clock.monotonic(),
             is_leaving=heartbeat.is_leaving,
@@ -32,16 +36,16 @@
         return HeartbeatNoted()
 
     async def run(self) -> None:
-        """Check for ever whether the heartbeats go on."""
+        """Check for ever whether heartbeats still arrive."""
         while True:
             await asyncio.sleep(HEARTBEAT_PERIOD_S)
             await self.check()
 
     async def check(self) -> None:
-        """Leave or come back if the gateway did."""
+        """Announce that the host is leaving or back if its gateway is."""
         is_gone = self._presence.is_gone(self._clock.monotonic())
         if is_gone == self._is_gone:
             return
         self._is_gone = is_gone
-        log_event('presence of the gateway changed', is_gone=is_gone)
+        log_event('gateway availability changed', is_gone=is_gone)
         await self._membership.leave(is_leaving=is_gone)
--- a/crocusshunt/controller/_lending.py
+++ b/crocusshunt/controller/_lending.py
@@ -1,22 +1,22 @@
-"""The parts of a controller that lend tokens."""
+"""Assembly of the parts of a controller that lend admission tokens."""
 
 import asyncio
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from crocusshunt.controller._directory import Directory
 from crocusshunt.controller._leases import LeaseManager
 from crocusshunt.controller._loans import LoanHandler
 from crocusshunt.controller._peers import Peers
+from crocusshunt.controller._shard_directory import ShardDirectory
 from crocusshunt.controller._supports import SupportCollector
-from crocusshunt.controller._witnessing import WitnessHandler
+from crocusshunt.controller._witness_handler import WitnessHandler
 from crocusshunt.core import Clock, HostIdentity
 from crocusshunt.messages import BorrowTokens, Handlers, RenewLeases
 from crocusshunt.routing import Tables
 from crocusshunt.store import TableStore
 
-_PERIOD_S = 1
-_UNSETTLED_PERIOD_S = 0.2
+_SUPPORT_PERIOD_S = 1
+_UNSETTLED_SUPPORT_PERIOD_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,24 +24,31 @@
     """What lending needs from the rest of the controller.
 
     :param incarnation: identifies this process.
-    :param configured: returns the tables in force.
+    :param get_tables: returns the tables of the configuration in force.
+    :param tables: the table service that stores the leases.
     """
 
     identity: HostIdentity
     incarnation: str
-    configured: Callable[[], Tables]
+    get_tables: Callable[[], Tables]
     peers: Peers
     tables: TableStore
     clock: Clock
 
 
 class Lending:
-    """Leases, witness and loans of one controller."""
+    """Lends the tokens of customers from one controller.
+
+    :ivar witness_handler: supports the leases of other hosts.
+    :ivar leases: the leases that this host holds.
+    :ivar support_collector: asks the witnesses of these leases for support.
+    :ivar loans: answers gateways that borrow tokens.
+    """
 
     def __init__(self, context: LendingContext) -> None:
         """Start without leases."""
-        self.witness = WitnessHandler(context.tables, context.clock)
-        directory = Directory(
+        self.witness_handler = WitnessHandler(context.tables, context.clock)
+        directory = ShardDirectory(
             context.identity.name,
             context.peers,
             context.clock,
@@ -53,16 +60,16 @@
             context.tables,
             context.clock,
         )
-        self.gatherer = SupportCollector(
+        self.support_collector = SupportCollector(
             context.identity.name,
             self.leases,
-            self.witness,
+            self.witness_handler,
             context.peers,
             context.clock,
         )
         self.loans = LoanHandler(
             context.identity,
-            context.configured,
+            context.get_tables,
             self.leases,
             directory,
             context.peers,
@@ -70,15 +77,20 @@
         )
 
     def register(self, handlers: Handlers) -> None:
-        """Register the answers to gateways and to other controllers."""
+        """Register the handlers of messages from gateways and controllers."""
         handlers.register(BorrowTokens)(self.loans.answer)
-        handlers.register(RenewLeases)(self.witness.answer)
+        handlers.register(RenewLeases)(self.witness_handler.answer)
 
     async def run_support_collection(self) -> None:
-        """Gather witnesses' support for ever."""
+        """Collect the support of witnesses for ever.
+
+        Until all leases are supported, witnesses are asked more often.
+        """
         while True:
-            await self.gatherer.gather()
-            is_settled = self.gatherer.is_settled()
+            await self.support_collector.collect_support()
+            has_all_support = self.support_collector.has_all_support()
             await asyncio.sleep(
-                _PERIOD_S if is_settled else _UNSETTLED_PERIOD_S,
+                _SUPPORT_PERIOD_S
+                if has_all_support
+                else _UNSETTLED_SUPPORT_PERIOD_S,
             )
--- a/crocusshunt/controller/_loans.py
+++ b/crocusshunt/controller/_loans.py
@@ -8,9 +8,9 @@
 import msgspec
 from result import Err
 
-from crocusshunt.controller._directory import Directory
 from crocusshunt.controller._leases import LeaseManager
 from crocusshunt.controller._peers import Peers
+from crocusshunt.controller._shard_directory import ShardDirectory
 from crocusshunt.core import Clock, HostIdentity
 from crocusshunt.limits import (
     HomeLedger,
@@ -22,142 +22,164 @@
 from crocusshunt.messages import Body, BorrowTokens, Refusal, TokenLoan
 from crocusshunt.routing import Customer, Tables
 
-_TIMEOUT_S = 1
-_PERIOD_S = 0.5
-_NEWS_PAUSE_S = 0.1
-# From the gateway's controller to the home, and on to the holder.
+_FORWARD_TIMEOUT_S = 1
+_MAINTENANCE_PERIOD_S = 0.5
+_WAKE_UP_DELAY_S = 0.1
+# A request goes from the gateway's controller to the home host, and from
+# there to the holder of the lease.
 _MAX_HOPS = 2
 
 
 class LoanHandler:
-    """Lends from the ledger of this host, or asks the customer's home."""
+    """Lends tokens from this host's ledger or asks the customer's home host.
+
+    It also maintains the leases of the shards that this host is the home of.
+
+    :ivar _requested_shards: shards of requests that this host could not answer
+        itself; their rows are read in the next round of maintenance.
+    :ivar _wake_up: set to start that round early.
+    """
 
     def __init__(
         self,
         identity: HostIdentity,
-        tables: Callable[[], Tables],
+        get_tables: Callable[[], Tables],
         leases: LeaseManager,
-        directory: Directory,
+        directory: ShardDirectory,
         peers: Peers,
         clock: Clock,
     ) -> None:
-        """Start with an empty ledger."""
+        """Start with an empty ledger.
+
+        :param get_tables: returns the tables of the configuration in force.
+        """
         self._identity = identity
-        self._tables = tables
+        self._get_tables = get_tables
         self._leases = leases
         self._peers = peers
         self._directory = directory
         self._ledger = HomeLedger(clock)
-        self._asked: set[str] = set()
-        self._news = asyncio.Event()
+        self._requested_shards: set[str] = set()
+        self._wake_up = asyncio.Event()
+
+    async def answer(self, request: BorrowTokens) -> Body:
+        """Return a loan, or a refusal that says why there is none.
 
-    async def answer(self, question: BorrowTokens) -> Body:
-        """Return a loan, or why there is none."""
-        customer = self._tables().find(Customer, question.customer)
+        If this host holds the lease of the customer's shard, it lends itself;
+        otherwise it forwards the request.
+        """
+        customer = self._get_tables().find(Customer, request.customer)
         if customer is None:
-            return Refusal('customer-unknown', question.customer)
-        if not question.borrower:
-            question = msgspec.structs.replace(
-                question,
+            return Refusal('customer-unknown', request.customer)
+        if not request.borrower:
+            request = msgspec.structs.replace(
+                request,
                 borrower=self._identity.name,
             )
         shard = find_shard(customer.name)
-        tenure = self._leases.find_term(shard)
-        if tenure is not None:
-            self._inherit(shard, tenure)
-            return self._lend(customer, question, tenure)
-        return await self._pass_on(shard, question)
+        term = self._leases.find_term(shard)
+        if term is not None:
+            self._restore_inherited(shard, term)
+            return self._lend(customer, request, term)
+        return await self._forward(shard, request)
 
     async def run(self) -> None:
-        """Look after the rows of leases for ever."""
+        """Maintain the leases for ever."""
         while True:
-            await self.advance()
-            await self._pause()
+            await self.maintain_leases()
+            await self._wait_for_next_round()
 
-    async def advance(self) -> None:
-        """Advance the rows that concern this host, till one call fails."""
+    async def maintain_leases(self) -> None:
+        """Hand over and maintain the leases that concern this host.
+
+        Maintenance ends for this round at the first call that fails.
+        """
         await self._hand_over(self._leases.find_displaced())
-        shards = self._find_shards() | self._asked
-        self._asked.clear()
-        for wanted in sorted(shards):
-            advanced = await self._leases.advance(wanted)
-            if isinstance(advanced, Err):
+        shards = self._find_own_shards() | self._requested_shards
+        self._requested_shards.clear()
+        for shard in sorted(shards):
+            maintained = await self._leases.maintain(shard)
+            if isinstance(maintained, Err):
                 return
 
-    async def leave(self) -> None:
+    async def release_all(self) -> None:
         """Release all leases before a planned stop."""
-        self._directory.leave()
-        await self._hand_over(tuple(self._leases.tenancies))
+        self._directory.exclude_own_host()
+        await self._hand_over(tuple(self._leases.held_leases))
 
-    def measure(
-        self, shard: str, tenure: LendingTerm
+    def measure_levels(
+        self, shard: str, term: LendingTerm
     ) -> tuple[TokenLevel, ...]:
-        """Return what is left of the tokens of a shard's customers."""
-        self._inherit(shard, tenure)
+        """Return the tokens left to each customer of a shard."""
+        self._restore_inherited(shard, term)
         return tuple(
             TokenLevel(
                 customer.name,
-                self._ledger.measure_transferable(customer, tenure),
+                self._ledger.measure_transferable(customer, term),
             )
             for customer in self._group_customers()[shard]
         )
 
-    async def _pause(self) -> None:
+    async def _wait_for_next_round(self) -> None:
         try:
-            await asyncio.wait_for(self._news.wait(), _PERIOD_S)
+            await asyncio.wait_for(self._wake_up.wait(), _MAINTENANCE_PERIOD_S)
         except TimeoutError:
             return
-        self._news.clear()
-        await asyncio.sleep(_NEWS_PAUSE_S)
+        self._wake_up.clear()
+        await asyncio.sleep(_WAKE_UP_DELAY_S)
 
     async def _hand_over(self, shards: tuple[str, ...]) -> None:
         await asyncio.gather(
-            *(self._leases.hand_over(one, self.measure) for one in shards),
+            *(
+                self._leases.hand_over(shard, self.measure_levels)
+                for shard in shards
+            ),
         )
 
-    def _find_shards(self) -> set[str]:
-        homes = {
+    def _find_own_shards(self) -> set[str]:
+        home_shards = {
             shard
             for shard in self._group_customers()
             if self._directory.find_home(shard) == self._identity.name
         }
-        return homes | set(self._leases.tenancies)
+        return home_shards | set(self._leases.held_leases)
 
     def _group_customers(self) -> defaultdict[str, list[Customer]]:
         groups: defaultdict[str, list[Customer]] = defaultdict(list)
-        for customer in self._tables().select(Customer):
+        for customer in self._get_tables().select(Customer):
             groups[find_shard(customer.name)].append(customer)
         return groups
 
-    def _inherit(self, shard: str, tenure: LendingTerm) -> None:
-        levels = self._leases.inherited.pop(shard, ())
+    def _restore_inherited(self, shard: str, term: LendingTerm) -> None:
+        """Put the tokens that the previous holder left into the ledger."""
+        levels = self._leases.inherited_levels.pop(shard, ())
         tokens = {level.customer: level.tokens for level in levels}
         if not tokens:
             return
         for customer in self._group_customers()[shard]:
             self._ledger.restore_tokens(
-                customer, tokens.get(customer.name, 0), tenure
+                customer, tokens.get(customer.name, 0), term
             )
 
     def _lend(
         self,
         customer: Customer,
-        question: BorrowTokens,
-        tenure: LendingTerm,
+        request: BorrowTokens,
+        term: LendingTerm,
     ) -> TokenLoan:
-        prefix = question.borrower
+        prefix = request.borrower
         settled = tuple(
-            replace(one, loan_id=f'{prefix}/{one.loan_id}')
-            for one in question.settled
+            replace(settlement, loan_id=f'{prefix}/{settlement.loan_id}')
+            for settlement in request.settled
         )
-        request = LoanRequest(
-            f'{prefix}/{question.loan_id}',
-            question.wanted,
+        loan_request = LoanRequest(
+            f'{prefix}/{request.loan_id}',
+            request.wanted,
             settled,
         )
-        loan = self._ledger.lend(customer, request, tenure)
+        loan = self._ledger.lend(customer, loan_request, term)
         return TokenLoan(
-            loan_id=question.loan_id,
+            loan_id=request.loan_id,
             granted=loan.granted,
             lifetime_s=loan.lifetime_s,
             retry_after_s=loan.retry_after_s,
@@ -166,20 +188,25 @@
             burst=customer.burst,
         )
 
-    async def _pass_on(self, shard: str, question: BorrowTokens) -> Body:
-        self._asked.add(shard)
-        self._news.set()
+    async def _forward(self, shard: str, request: BorrowTokens) -> Body:
+        """Ask the home host, or the holder if this host is the home."""
+        self._requested_shards.add(shard)
+        self._wake_up.set()
         target = self._directory.find_home(shard)
         if target == self._identity.name:
             target = self._leases.find_holder(shard)
-        if target is None or question.hops >= _MAX_HOPS:
-            return Refusal('home-unsettled', question.customer)
-        onward = msgspec.structs.replace(question, hops=question.hops + 1)
-        answer = await self._peers.ask(target, onward, TokenLoan, _TIMEOUT_S)
+        if target is None or request.hops >= _MAX_HOPS:
+            return Refusal('home-unsettled', request.customer)
+        forwarded = msgspec.structs.replace(request, hops=request.hops + 1)
+        answer = await self._peers.ask(
+            target, forwarded, TokenLoan, _FORWARD_TIMEOUT_S
+        )
         if isinstance(answer, Err):
             error = answer.err_value
-            is_silent = error.code == 'peer-timeout'
-            self._directory.note_answer(target, is_good=not is_silent)
+            has_timed_out = error.code == 'peer-timeout'
+            self._directory.record_answer(
+                target, has_answered=not has_timed_out
+            )
             return Refusal('home-unreachable', error.describe())
-        self._directory.note_answer(target, is_good=True)
+        self._directory.record_answer(target, has_answered=True)
         return answer.ok_value
--- a/crocusshunt/controller/_peers.py
+++ b/crocusshunt/controller/_peers.py
@@ -1,4 +1,4 @@
-"""Controllers of other hosts, by the names of their hosts."""
+"""Messages to the controllers of other hosts, addressed by host name."""
 
 from typing import Protocol, TypeVar
 
@@ -16,7 +16,7 @@
 
 
 class Peers(Protocol):
-    """Whom a controller can ask."""
+    """The other controllers that a controller can send messages to."""
 
     def find_domains(self) -> dict[str, str]:
         """Return the failure domain of each live host."""
@@ -32,10 +32,10 @@
 
 
 class HostPeers:
-    """Peers found in the table of hosts."""
+    """Finds the controllers of other hosts in the table of hosts."""
 
     def __init__(self, hosts: HostTable, requesters: RequesterPool) -> None:
-        """Use shared requesters."""
+        """Use the shared table of hosts and the shared sockets."""
         self._hosts = hosts
         self._requesters = requesters
 
@@ -53,7 +53,8 @@
         timeout_s: float,
     ) -> Result[_BodyType, TransportError]:
         """Send a message to the controller of a host."""
-        # A leaving host still witnesses and hands over.
+        # Leaving hosts are included: they still act as witnesses and hand
+        # over their leases.
         for entry in self._hosts.hosts:
             if entry.name == host:
                 requester = self._requesters.get(entry.controller)
--- a/crocusshunt/controller/_service.py
+++ b/crocusshunt/controller/_service.py
@@ -4,9 +4,9 @@
 import random
 
 from crocusshunt.configuration import Repository
+from crocusshunt.controller._gateway_monitor import GatewayMonitor
 from crocusshunt.controller._lending import Lending, LendingContext
 from crocusshunt.controller._peers import HostPeers
-from crocusshunt.controller._presence import PresenceWatch
 from crocusshunt.controller._settings import ControllerSettings
 from crocusshunt.controller._shifts import ShiftRunner, ShiftSources
 from crocusshunt.core import Clock, Identifiers
@@ -25,7 +25,11 @@
 
 
 class ControllerService:
-    """Keeps the configuration, the hosts and the customers' tokens."""
+    """Runs the control process of a host.
+
+    It follows the configuration, probes the other hosts, lends customers'
+    tokens and advances the shifts.
+    """
 
     def __init__(self, settings: ControllerSettings, clock: Clock) -> None:
         """Assemble the parts; nothing runs yet."""
@@ -49,7 +53,7 @@
         )
         self._shifts = self._create_shift_runner(clock)
         self._lending = self._create_lending(clock)
-        self._presence = PresenceWatch(self.membership, clock)
+        self._presence = GatewayMonitor(self.membership, clock)
         self.replier = Replier(settings.controller.listen, self._register())
 
     async def serve(self, stopping: asyncio.Event) -> None:
@@ -59,7 +63,7 @@
         await self.stop()
 
     async def start(self) -> None:
-        """Listen and follow."""
+        """Listen, join the membership and start the background tasks."""
         await self.replier.start()
         self.membership.join(self.replier.address)
         self._tasks.start(self._follower.run())
@@ -70,10 +74,10 @@
         self._tasks.start(self._lending.run_support_collection())
 
     async def stop(self) -> None:
-        """Announce the stop, stop all tasks and close all sockets."""
+        """Announce the stop, release all leases and close all sockets."""
         await self.membership.leave()
         await self._tasks.stop()
-        await self._lending.loans.leave()
+        await self._lending.loans.release_all()
         await self.replier.stop()
         self.membership.close()
         self._requesters.close()
--- a/crocusshunt/controller/_supports.py
+++ b/crocusshunt/controller/_supports.py
@@ -1,4 +1,4 @@
-"""Support of witnesses for the leases that this host holds."""
+"""Requests to witnesses to support the leases that this host holds."""
 
 import asyncio
 from collections import defaultdict
@@ -8,7 +8,7 @@
 
 from crocusshunt.controller._leases import LeaseManager
 from crocusshunt.controller._peers import Peers
-from crocusshunt.controller._witnessing import WitnessHandler
+from crocusshunt.controller._witness_handler import WitnessHandler
 from crocusshunt.core import Clock
 from crocusshunt.limits import HeldLease
 from crocusshunt.messages import (
@@ -22,101 +22,121 @@
 
 
 @dataclass(slots=True)
-class _Wanted:
+class _WitnessRequest:
+    """Leases to name in the request to one witness."""
+
     supports: list[LeaseEpoch] = field(default_factory=list)
     fences: list[LeaseEpoch] = field(default_factory=list)
 
 
 class SupportCollector:
-    """Asks each witness once for all leases that concern it."""
+    """Asks the witnesses to support this host's leases.
+
+    Each witness gets one request for all leases that concern it. For a lease
+    whose lending term has not begun it is asked to fence the earlier holders,
+    for any other to support this host.
+    """
 
     def __init__(
         self,
         host: str,
         leases: LeaseManager,
-        parts: WitnessHandler,
+        own_witness: WitnessHandler,
         peers: Peers,
         clock: Clock,
     ) -> None:
-        """Gather support for the leases of this host.
+        """Collect support for the leases of this host.
 
         :param host: name of this host.
-        :param parts: the witness that this host is itself.
+        :param own_witness: the witness on this host, called directly.
         """
         self._host = host
         self._leases = leases
-        self._parts = parts
+        self._own_witness = own_witness
         self._peers = peers
         self._clock = clock
 
-    def is_settled(self) -> bool:
+    def has_all_support(self) -> bool:
         """Tell whether this host may lend for all its leases."""
-        tenancies = self._leases.tenancies
-        return bool(tenancies) and all(
-            self._leases.find_term(shard) is not None for shard in tenancies
+        held_leases = self._leases.held_leases
+        return bool(held_leases) and all(
+            self._leases.find_term(shard) is not None for shard in held_leases
         )
 
-    async def gather(self) -> None:
-        """Ask all witnesses at once and count their answers."""
-        wanted = self._collect()
+    async def collect_support(self) -> None:
+        """Ask all witnesses concurrently and record their answers.
+
+        Then begin the lending terms whose earlier holders have stopped.
+        """
+        requests = self._group_by_witness()
         await asyncio.gather(
-            *(self._ask(host, one) for host, one in wanted.items()),
+            *(
+                self._request_support(host, one)
+                for host, one in requests.items()
+            ),
         )
         now = self._clock.monotonic()
-        for tenancy in self._leases.tenancies.values():
-            tenancy.begin(now)
+        for held_lease in self._leases.held_leases.values():
+            held_lease.begin(now)
 
-    def _collect(self) -> dict[str, _Wanted]:
-        wanted: defaultdict[str, _Wanted] = defaultdict(_Wanted)
+    def _group_by_witness(self) -> dict[str, _WitnessRequest]:
+        requests: defaultdict[str, _WitnessRequest] = defaultdict(
+            _WitnessRequest
+        )
         now = self._clock.monotonic()
-        for shard, tenancy in self._leases.tenancies.items():
-            lease = LeaseEpoch(shard, tenancy.row.epoch)
-            if tenancy.begin(now):
-                for host in tenancy.row.witnesses:
-                    wanted[host].supports.append(lease)
+        for shard, held_lease in self._leases.held_leases.items():
+            lease = LeaseEpoch(shard, held_lease.row.epoch)
+            if held_lease.begin(now):
+                for host in held_lease.row.witnesses:
+                    requests[host].supports.append(lease)
             else:
-                for host in _find_unfenced(tenancy):
-                    wanted[host].fences.append(lease)
-        return wanted
+                for host in _find_unfenced(held_lease):
+                    requests[host].fences.append(lease)
+        return requests
 
-    async def _ask(self, host: str, wanted: _Wanted) -> None:
-        question = RenewLeases(tuple(wanted.supports), tuple(wanted.fences))
+    async def _request_support(
+        self, host: str, claims: _WitnessRequest
+    ) -> None:
+        request = RenewLeases(tuple(claims.supports), tuple(claims.fences))
         epochs = {
             lease.shard: lease.epoch
-            for lease in (*question.supports, *question.fences)
+            for lease in (*request.supports, *request.fences)
         }
-        asked_at = self._clock.monotonic()
-        answer = await self._exchange(host, question)
+        requested_at = self._clock.monotonic()
+        answer = await self._send(host, request)
         if isinstance(answer, Err):
             return
         now = self._clock.monotonic()
         renewed = answer.ok_value
         for shard in renewed.supported:
-            tenancy = self._find(shard, epochs)
-            if tenancy is not None:
-                tenancy.add_support(host, asked_at)
+            held_lease = self._find_current_lease(shard, epochs)
+            if held_lease is not None:
+                held_lease.add_support(host, requested_at)
         for fenced in renewed.fenced:
-            tenancy = self._find(fenced.shard, epochs)
-            if tenancy is not None:
-                tenancy.add_clearance(host, now, fenced.wait_s)
+            held_lease = self._find_current_lease(fenced.shard, epochs)
+            if held_lease is not None:
+                held_lease.add_clearance(host, now, fenced.wait_s)
 
-    async def _exchange(
+    async def _send(
         self,
         host: str,
-        question: RenewLeases,
+        request: RenewLeases,
     ) -> Result[LeasesRenewed, TransportError]:
         if host == self._host:
-            return Ok(await self._parts.answer(question))
-        return await self._peers.ask(host, question, LeasesRenewed, _TIMEOUT_S)
-
-    def _find(self, shard: str, epochs: dict[str, int]) -> HeldLease | None:
-        tenancy = self._leases.tenancies.get(shard)
-        # The lease may have changed hands while the answer was on its way.
-        if tenancy is None or tenancy.row.epoch != epochs.get(shard):
+            return Ok(await self._own_witness.answer(request))
+        return await self._peers.ask(host, request, LeasesRenewed, _TIMEOUT_S)
+
+    def _find_current_lease(
+        self, shard: str, epochs: dict[str, int]
+    ) -> HeldLease | None:
+        held_lease = self._leases.held_leases.get(shard)
+        # The lease may have been lost, or its epoch raised, while the answer
+        # was on its way.
+        if held_lease is None or held_lease.row.epoch != epochs.get(shard):
             return None
-        return tenancy
+        return held_lease
 
 
-def _find_unfenced(tenancy: HeldLease) -> set[str]:
-    hosts = {host for hosts in tenancy.row.unfenced for host in hosts}
-    return hosts - set(tenancy.cleared)
+def _find_unfenced(held_lease: HeldLease) -> set[str]:
+    hosts = {host for hosts in held_lease.row.unfenced for host in hosts}
+    return hosts - set(held_lease.cleared)
--- a/crocusshunt/controller/_witnessing.py
+++ b/crocusshunt/controller/_witness_handler.py
@@ -1,4 +1,4 @@
-"""Answers of a witness to the holders of leases."""
+"""The part of a controller that acts as a witness of leases."""
 
 from result import Ok
 
@@ -16,26 +16,29 @@
 
 
 class WitnessHandler:
-    """Supports holders and fences them."""
+    """Supports the holders of leases and fences earlier holders.
+
+    It reads a shard's row from the store before it first supports a holder.
+    """
 
     def __init__(self, tables: TableStore, clock: Clock) -> None:
-        """Start without memory."""
+        """Start without knowledge of any shard."""
         self._tables = tables
         self._clock = clock
         self._witness = Witness(clock.monotonic())
 
-    async def answer(self, question: RenewLeases) -> LeasesRenewed:
-        """Return what this witness agreed to."""
-        for unread in question.supports:
-            if self._witness.is_row_needed(unread.shard):
-                await self._read(unread.shard)
+    async def answer(self, request: RenewLeases) -> LeasesRenewed:
+        """Return the leases supported and those whose holders are fenced."""
+        for claimed in request.supports:
+            if self._witness.is_row_needed(claimed.shard):
+                await self._read_row(claimed.shard)
         now = self._clock.monotonic()
         supported = tuple(
             lease.shard
-            for lease in question.supports
+            for lease in request.supports
             if self._witness.support(lease.shard, lease.epoch, now)
         )
-        return LeasesRenewed(supported, self._fence(question.fences))
+        return LeasesRenewed(supported, self._fence(request.fences))
 
     def _fence(self, leases: tuple[LeaseEpoch, ...]) -> tuple[FencedLease, ...]:
         now = self._clock.monotonic()
@@ -49,7 +52,7 @@
             if wait_s is not None
         )
 
-    async def _read(self, shard: str) -> None:
+    async def _read_row(self, shard: str) -> None:
         found = await self._tables.read(LEASE_TABLE, shard)
         if isinstance(found, Ok) and found.ok_value is not None:
             row = decode_lease(found.ok_value.body)
--- a/crocusshunt/controller/tests/test_lending.py
+++ b/crocusshunt/controller/tests/test_lending.py
@@ -1,4 +1,4 @@
-"""Failures of the store, messages and hosts while tokens are lent."""
+"""Failures of the store, of messages and of hosts while tokens are lent."""
 
 import asyncio
 import random
@@ -35,7 +35,7 @@
 _FAULTS: dict[str, Fault] = {}
 
 
-def _register(fault: Fault) -> Fault:
+def _register_fault(fault: Fault) -> Fault:
     _FAULTS[fault.__name__] = fault
     return fault
 
@@ -45,31 +45,32 @@
     return lenders[0] if lenders else min(fleet.hosts)
 
 
-@_register
+@_register_fault
 async def lose_answers(fleet: LimitFleet) -> None:
     fleet.platform.switches.lost_answers = 6
 
 
-@_register
+@_register_fault
 async def slow_store(fleet: LimitFleet) -> None:
     fleet.platform.switches.delay_s = 4
     await asyncio.sleep(10)
     fleet.platform.switches.delay_s = 0
 
 
-@_register
+@_register_fault
 async def stop_store(fleet: LimitFleet) -> None:
     fleet.platform.switches.is_down = True
     await asyncio.sleep(15)
     fleet.platform.switches.is_down = False
 
 
-@_register
-async def spoil_messages(fleet: LimitFleet) -> None:
+@_register_fault
+async def start_message_faults(fleet: LimitFleet) -> None:
+    """Lose, duplicate and delay messages."""
     fleet.network.faults = Faults(loss=0.1, duplication=0.2, jitter_s=0.3)
 
 
-@_register
+@_register_fault
 async def pause_holder(fleet: LimitFleet) -> None:
     holder = _find_lender(fleet)
     fleet.pause(holder)
@@ -79,7 +80,7 @@
     fleet.resume(holder)
 
 
-@_register
+@_register_fault
 async def kill_holder(fleet: LimitFleet) -> None:
     holder = _find_lender(fleet)
     fleet.kill(holder)
@@ -87,7 +88,7 @@
     fleet.forget(holder)
 
 
-@_register
+@_register_fault
 async def restart_holder(fleet: LimitFleet) -> None:
     holder = _find_lender(fleet)
     fleet.kill(holder)
@@ -95,17 +96,18 @@
     fleet.start_host(holder, _DRIFT)
 
 
-@_register
+@_register_fault
 async def stop_holder(fleet: LimitFleet) -> None:
     holder = _find_lender(fleet)
-    await fleet.hosts[holder].lending.loans.leave()
+    await fleet.hosts[holder].lending.loans.release_all()
     fleet.forget(holder)
     if holder in fleet.hosts:
         fleet.kill(holder)
 
 
-@_register
+@_register_fault
 async def cut_region(fleet: LimitFleet) -> None:
+    """Cut the holder's region off from all others for 13 seconds."""
     holder = _find_lender(fleet)
     region = fleet.layout.find_region(holder)
     cut = {
@@ -114,15 +116,16 @@
     fleet.network.groups = dict.fromkeys(cut, 1)
     await asyncio.sleep(3)
     for name, host in fleet.hosts.items():
-        gone = set(fleet.hosts) - cut if name in cut else cut
-        for one in gone:
+        unreachable = set(fleet.hosts) - cut if name in cut else cut
+        for one in unreachable:
             host.peers.domains.pop(one, None)
     await asyncio.sleep(10)
     fleet.network.groups = {}
 
 
-@_register
-async def differ_on_hosts(fleet: LimitFleet) -> None:
+@_register_fault
+async def disagree_on_live_hosts(fleet: LimitFleet) -> None:
+    """Let three hosts believe that the holder is gone."""
     holder = _find_lender(fleet)
     for name in ('h1', 'h3', 'h5'):
         host = fleet.hosts.get(name)
@@ -137,25 +140,27 @@
 ) -> tuple[Tally, int]:
     arrivals = create_arrivals(load, _HOSTS, random.Random(seed))
 
-    async def play() -> tuple[Tally, int]:
+    async def run_scenario() -> tuple[Tally, int]:
         fleet = LimitFleet(Layout(hosts=_HOSTS), (_CUSTOMER,), seed)
         fleet.start(_DRIFT)
-        watching = asyncio.create_task(_watch(fleet, load.duration_s))
-        driving = asyncio.create_task(drive(fleet, load.customer, arrivals))
+        watch_task = asyncio.create_task(
+            _count_most_lenders(fleet, load.duration_s)
+        )
+        load_task = asyncio.create_task(drive(fleet, load.customer, arrivals))
         await asyncio.sleep(_FAULT_AT_S)
         for fault in faults:
-            acting = asyncio.create_task(fault(fleet))
+            fault_task = asyncio.create_task(fault(fleet))
             await asyncio.sleep(1.5)
-        await acting
-        tally = await driving
-        most_lenders = await watching
+        await fault_task
+        tally = await load_task
+        most_lenders = await watch_task
         fleet.stop()
         return tally, most_lenders
 
-    return simulate(play())
+    return simulate(run_scenario())
 
 
-async def _watch(fleet: LimitFleet, duration_s: float) -> int:
+async def _count_most_lenders(fleet: LimitFleet, duration_s: float) -> int:
     most = 0
     for _ in range(_SAMPLES):
         await asyncio.sleep(duration_s / _SAMPLES)
@@ -163,12 +168,12 @@
     return most
 
 
-_ALONE: list[tuple[str, ...]] = [(name,) for name in sorted(_FAULTS)]
-_PAIRS: list[tuple[str, ...]] = list(combinations(sorted(_FAULTS), 2))
+_SINGLE_FAULTS: list[tuple[str, ...]] = [(name,) for name in sorted(_FAULTS)]
+_FAULT_PAIRS: list[tuple[str, ...]] = list(combinations(sorted(_FAULTS), 2))
 
 
-@pytest.mark.parametrize('names', _ALONE + _PAIRS, ids='+'.join)
-def test_faults_never_admit_too_many(names: tuple[str, ...]) -> None:
+@pytest.mark.parametrize('names', _SINGLE_FAULTS + _FAULT_PAIRS, ids='+'.join)
+def test_faults_never_admit_more_than_the_limit(names: tuple[str, ...]) -> None:
     faults = tuple(_FAULTS[name] for name in names)
     tally, most_lenders = _run(faults, seed=len(names))
     assert most_lenders == 1
@@ -176,7 +181,7 @@
 
 
 @pytest.mark.parametrize('name', sorted(_FAULTS))
-def test_service_goes_on_after_a_fault(name: str) -> None:
+def test_requests_are_admitted_again_after_a_fault(name: str) -> None:
     tally, _ = _run((_FAULTS[name],), seed=3)
     late = [at for at in tally.admitted if at > _DURATION_S - 6]
     assert len(late) > 0.8 * 6 * _CUSTOMER.rate
@@ -195,29 +200,31 @@
     assert not tally.unavailable
 
 
-def test_paused_holder_refuses_when_it_wakes() -> None:
-    async def play() -> tuple[list[str], list[str]]:
+def test_paused_holder_is_replaced_by_one_host() -> None:
+    async def run_scenario() -> tuple[list[str], list[str]]:
         fleet = LimitFleet(Layout(hosts=_HOSTS), (_CUSTOMER,), seed=5)
         fleet.start()
         await asyncio.sleep(5)
         holder = _find_lender(fleet)
         fleet.pause(holder)
         await asyncio.sleep(6)
-        lapsed = fleet.find_lenders(_SHARD)
+        lenders_while_paused = fleet.find_lenders(_SHARD)
         fleet.forget(holder)
         await asyncio.sleep(8)
         fleet.resume(holder)
-        followers = fleet.find_lenders(_SHARD)
+        lenders_after = fleet.find_lenders(_SHARD)
         fleet.stop()
-        return lapsed, [one for one in followers if one != holder]
+        return lenders_while_paused, [
+            one for one in lenders_after if one != holder
+        ]
 
-    lapsed, followers = simulate(play())
-    assert not lapsed
-    assert len(followers) == 1
+    lenders_while_paused, lenders_after = simulate(run_scenario())
+    assert not lenders_while_paused
+    assert len(lenders_after) == 1
 
 
-def test_planned_stop_hands_the_tokens_over_once() -> None:
-    async def play() -> tuple[str, str, tuple[float, ...]]:
+def test_planned_stop_hands_the_tokens_over() -> None:
+    async def run_scenario() -> tuple[str, str, tuple[float, ...]]:
         fleet = LimitFleet(Layout(hosts=_HOSTS), (_CUSTOMER,), seed=6)
         fleet.start()
         await asyncio.sleep(20)
@@ -226,10 +233,10 @@
         await asyncio.sleep(2)
         after = _find_lender(fleet)
         leases = fleet.hosts[after].lending.leases
-        levels = leases.inherited.get(_SHARD, ())
+        levels = leases.inherited_levels.get(_SHARD, ())
         fleet.stop()
         return before, after, tuple(level.tokens for level in levels)
 
-    before, after, tokens = simulate(play())
+    before, after, tokens = simulate(run_scenario())
     assert before != after
     assert tokens == (_CUSTOMER.burst,)
--- a/crocusshunt/controller/tests/test_shifts.py
+++ b/crocusshunt/controller/tests/test_shifts.py
@@ -1,4 +1,4 @@
-"""Shifts continued by other hosts, and never stepped twice."""
+"""Shifts are continued by other hosts, and no step is taken twice."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -40,13 +40,13 @@
 
 
 @dataclass
-class _Site:
-    """Hosts that share a store; each may hold an older configuration."""
+class _Deployment:
+    """Hosts that share a store; each has its own copy of the configuration."""
 
     platform: MemoryPlatform = field(default_factory=MemoryPlatform)
     clock: ManualClock = field(default_factory=lambda: ManualClock(epoch=1.5))
-    live: tuple[str, ...] = _HOSTS
-    held: dict[str, Configuration] = field(default_factory=dict)
+    live_hosts: tuple[str, ...] = _HOSTS
+    configurations: dict[str, Configuration] = field(default_factory=dict)
 
     async def start(self) -> None:
         self.repository = Repository(self.platform, self.clock)
@@ -57,31 +57,31 @@
         request = ChangeRequest('first', 0, 'mina', 'start', edits)
         await self.repository.propose(request, Configuration())
         for name in _HOSTS:
-            await self.follow(name)
+            await self.update_configuration(name)
 
-    async def follow(self, name: str) -> None:
-        held = self.held.get(name, Configuration())
+    async def update_configuration(self, name: str) -> None:
+        held = self.configurations.get(name, Configuration())
         changes = await self.repository.read_changes(held.revision)
         for change in changes.unwrap():
             held = apply_change(held, change).unwrap()
-        self.held[name] = held
+        self.configurations[name] = held
 
     def create_runner(self, name: str) -> ShiftRunner:
         sources = ShiftSources(
-            lambda: self.held[name],
-            lambda: self.live,
+            lambda: self.configurations[name],
+            lambda: self.live_hosts,
             lambda: _READINGS,
         )
         return ShiftRunner(name, sources, self.repository, self.clock)
 
     async def read_shift(self) -> Shift:
-        await self.follow('reader')
-        return self.held['reader'].tables.select(Shift)[0]
+        await self.update_configuration('reader')
+        return self.configurations['reader'].tables.select(Shift)[0]
 
 
 @pytest.fixture
-async def site() -> _Site:
-    started = _Site()
+async def deployment() -> _Deployment:
+    started = _Deployment()
     await started.start()
     return started
 
@@ -91,71 +91,90 @@
     return sum(isinstance(outcome, Ok) for outcome in outcomes)
 
 
-async def test_dead_runner_is_continued_by_another(site: _Site) -> None:
-    """Each pace has one step, also after the runner died."""
-    runners = {name: site.create_runner(name) for name in _HOSTS}
+async def test_dead_runner_is_continued_by_another(
+    deployment: _Deployment,
+) -> None:
+    """After the runner died, another host still takes one step per pace."""
+    runners = {name: deployment.create_runner(name) for name in _HOSTS}
     await _advance_all(runners.values())
-    site.clock.advance(_PACE_S)
+    deployment.clock.advance(_PACE_S)
     assert await _advance_all(runners.values()) == 1
     for name in _HOSTS:
-        await site.follow(name)
-    assert (await site.read_shift()).step == 1
+        await deployment.update_configuration(name)
+    assert (await deployment.read_shift()).step == 1
     dead = rank_by_rendezvous('shift s', _HOSTS)[0]
     runners.pop(dead)
-    site.live = tuple(runners)
+    deployment.live_hosts = tuple(runners)
     await _advance_all(runners.values())
-    site.clock.advance(_PACE_S - 1)
+    deployment.clock.advance(_PACE_S - 1)
     assert await _advance_all(runners.values()) == 0
-    site.clock.advance(1)
+    deployment.clock.advance(1)
     assert await _advance_all(runners.values()) == 1
-    assert (await site.read_shift()).step == 2
+    assert (await deployment.read_shift()).step == 2
 
 
-async def test_paused_runner_does_not_repeat_a_step(site: _Site) -> None:
-    """A host that wakes late acts on an old revision and fails."""
+async def test_paused_runner_does_not_repeat_a_step(
+    deployment: _Deployment,
+) -> None:
+    """A host that resumes late decides from an old revision.
+
+    Its step then has the id of the step already taken, and it gets the outcome
+    of that one.
+    """
     first, second, _ = rank_by_rendezvous('shift s', _HOSTS)
-    paused, other = site.create_runner(first), site.create_runner(second)
+    paused, other = (
+        deployment.create_runner(first),
+        deployment.create_runner(second),
+    )
     await paused.advance()
     await other.advance()
-    site.clock.advance(_PACE_S)
-    site.live = (second,)
+    deployment.clock.advance(_PACE_S)
+    deployment.live_hosts = (second,)
     taken = await other.advance()
-    site.live = _HOSTS
+    deployment.live_hosts = _HOSTS
     assert await paused.advance() == taken
-    assert (await site.read_shift()).step == 1
+    assert (await deployment.read_shift()).step == 1
 
 
-async def test_paused_runner_loses_to_any_other_change(site: _Site) -> None:
+async def test_step_from_an_older_revision_is_refused(
+    deployment: _Deployment,
+) -> None:
     """A step decided before an operator's change is not written after it."""
-    runner = site.create_runner(rank_by_rendezvous('shift s', _HOSTS)[0])
+    runner = deployment.create_runner(rank_by_rendezvous('shift s', _HOSTS)[0])
     await runner.advance()
-    site.clock.advance(_PACE_S)
+    deployment.clock.advance(_PACE_S)
     edits = (EditRequest('pool', 'renew', encode_row(Pool('renew'))),)
     request = ChangeRequest('other', 1, 'mina', 'new pool', edits)
-    await site.repository.propose(request, site.held['h1'])
+    await deployment.repository.propose(
+        request, deployment.configurations['h1']
+    )
     outcomes = await runner.advance()
     assert outcomes[0].unwrap_err().code == 'revision-conflict'
-    assert (await site.read_shift()).step == 0
+    assert (await deployment.read_shift()).step == 0
 
 
-async def test_lost_answer_is_no_second_step(site: _Site) -> None:
-    """A step whose answer was lost is found by its id."""
-    runner = site.create_runner(rank_by_rendezvous('shift s', _HOSTS)[0])
+async def test_lost_answer_does_not_repeat_a_step(
+    deployment: _Deployment,
+) -> None:
+    """A step whose answer was lost is recognised by the id of its change."""
+    runner = deployment.create_runner(rank_by_rendezvous('shift s', _HOSTS)[0])
     await runner.advance()
-    site.clock.advance(_PACE_S)
-    site.platform.switches.lost_answers = 1
+    deployment.clock.advance(_PACE_S)
+    deployment.platform.switches.lost_answers = 1
     await runner.advance()
     await runner.advance()
-    shift = await site.read_shift()
+    shift = await deployment.read_shift()
     assert (shift.step, shift.moved) == (1, 0.1)
 
 
-async def test_store_down_holds_a_shift(site: _Site) -> None:
-    """Nothing moves while no step can be written."""
-    runner = site.create_runner(rank_by_rendezvous('shift s', _HOSTS)[0])
+async def test_shift_waits_while_the_store_is_down(
+    deployment: _Deployment,
+) -> None:
+    """No step is taken while none can be written."""
+    runner = deployment.create_runner(rank_by_rendezvous('shift s', _HOSTS)[0])
     await runner.advance()
-    site.clock.advance(_PACE_S)
-    site.platform.switches.is_down = True
+    deployment.clock.advance(_PACE_S)
+    deployment.platform.switches.is_down = True
     assert await _advance_all((runner,)) == 0
-    site.platform.switches.is_down = False
+    deployment.platform.switches.is_down = False
     assert await _advance_all((runner,)) == 1
