--- a/crocusshunt/controller/_gateway_monitor.py
+++ b/crocusshunt/controller/_gateway_monitor.py
@@ -24,11 +24,11 @@
         self._membership = membership
         self._clock = clock
         self._presence = GatewayPresence()
-        self._is_gone = False
+        self._is_unavailable = False
 
     async def answer(self, heartbeat: GatewayHeartbeat) -> Body:
         """Record a heartbeat and announce at once what it changes."""
-        self._presence.note(
+        self._presence.record_heartbeat(
             self._clock.monotonic(),
             is_leaving=heartbeat.is_leaving,
         )
@@ -43,9 +43,9 @@
 
     async def check(self) -> None:
         """Announce that the host is leaving or back if its gateway is."""
-        is_gone = self._presence.is_gone(self._clock.monotonic())
-        if is_gone == self._is_gone:
+        is_unavailable = self._presence.is_unavailable(self._clock.monotonic())
+        if is_unavailable == self._is_unavailable:
             return
-        self._is_gone = is_gone
-        log_event('gateway availability changed', is_gone=is_gone)
-        await self._membership.leave(is_leaving=is_gone)
+        self._is_unavailable = is_unavailable
+        log_event('gateway availability changed', is_unavailable=is_unavailable)
+        await self._membership.set_leaving(is_leaving=is_unavailable)
--- a/crocusshunt/controller/_service.py
+++ b/crocusshunt/controller/_service.py
@@ -75,7 +75,7 @@
 
     async def stop(self) -> None:
         """Announce the stop, release all leases and close all sockets."""
-        await self.membership.leave()
+        await self.membership.set_leaving()
         await self._tasks.stop()
         await self._lending.loans.release_all()
         await self.replier.stop()
--- a/crocusshunt/membership/__init__.py
+++ b/crocusshunt/membership/__init__.py
@@ -1,9 +1,13 @@
-"""Which hosts are there and which of them live."""
+"""Membership: which hosts exist and which of them are alive.
+
+Controllers probe each other and exchange what they know by gossip, after the
+SWIM protocol. The platform's list of hosts is a second source.
+"""
 
 from crocusshunt.membership._agent import MembershipAgent
 from crocusshunt.membership._detector import Detector, DetectorSettings
+from crocusshunt.membership._gossip import GossipQueue
 from crocusshunt.membership._hosts import HostTable, list_usable
-from crocusshunt.membership._news import GossipQueue
 from crocusshunt.membership._precedence import (
     create_entry,
     create_member,
@@ -13,7 +17,7 @@
 from crocusshunt.membership._presence import HEARTBEAT_PERIOD_S, GatewayPresence
 from crocusshunt.membership._service import MembershipService
 from crocusshunt.membership._table import MemberTable
-from crocusshunt.membership._topology import Subjects, assign_subjects
+from crocusshunt.membership._topology import ProbeTargets, assign_probe_targets
 from crocusshunt.membership._transport import (
     SocketTransport,
     Traffic,
@@ -30,11 +34,11 @@
     'MemberTable',
     'MembershipAgent',
     'MembershipService',
+    'ProbeTargets',
     'SocketTransport',
-    'Subjects',
     'Traffic',
     'Transport',
-    'assign_subjects',
+    'assign_probe_targets',
     'create_entry',
     'create_member',
     'digest_member',
--- a/crocusshunt/membership/_agent.py
+++ b/crocusshunt/membership/_agent.py
@@ -19,14 +19,17 @@
     RelayProbe,
 )
 
-_NEAR_TIMEOUT_S = 0.5
-_FAR_TIMEOUT_S = 1
+_SAME_REGION_TIMEOUT_S = 0.5
+_OTHER_REGION_TIMEOUT_S = 1
 _SYNC_PERIOD_S = 15
 _NEVER = float('-inf')
 
 
 class MembershipAgent:
-    """Keeps one host's table of members by probes; its pace is its owner's."""
+    """Updates one host's table of members by probing other hosts.
+
+    Its owner calls the probe methods and so sets the time between probes.
+    """
 
     def __init__(
         self,
@@ -34,128 +37,142 @@
         transport: Transport,
         clock: Clock,
         settings: DetectorSettings,
-        source: Random,
+        random_source: Random,
     ) -> None:
-        """Assemble the parts."""
+        """Start without having probed any host.
+
+        :param random_source: source of the random choice of hosts.
+        """
         self.table = table
         self.traffic = Traffic(transport)
-        self.detector = Detector(table, settings, source)
+        self.detector = Detector(table, settings, random_source)
         self._clock = clock
-        self._synced_s = _NEVER
+        self._last_sync_s = _NEVER
 
     @property
     def has_synced(self) -> bool:
-        """Tell whether another host's whole table was compared once."""
-        return self._synced_s != _NEVER
+        """Tell whether the table was ever compared with another host's."""
+        return self._last_sync_s != _NEVER
 
     async def probe_same_region(self) -> None:
         """Probe the next host of this region."""
-        subject = self.detector.choose_near()
-        if subject is not None:
-            await self._probe(subject)
+        target = self.detector.choose_same_region()
+        if target is not None:
+            await self._probe(target)
 
     async def probe_other_region(self) -> None:
         """Probe the next host of another region."""
-        subject = self.detector.choose_far()
-        if subject is not None:
-            await self._probe(subject)
+        target = self.detector.choose_other_region()
+        if target is not None:
+            await self._probe(target)
 
     async def probe_lost(self) -> None:
-        """Find out whether a lost host is back."""
-        subject = self.detector.choose_lost()
-        if subject is not None:
-            await self._ask(subject)
+        """Probe an unreachable or dead host, in case it is back."""
+        target = self.detector.choose_lost()
+        if target is not None:
+            await self._send_probe(target)
 
     async def announce(self) -> None:
-        """Tell all probed hosts the news at once, such as a planned stop."""
-        names = self.detector.subjects.near + self.detector.subjects.far
+        """Send pending updates, such as a planned stop, to all targets."""
+        names = (
+            self.detector.targets.same_region
+            + self.detector.targets.other_regions
+        )
         members = (self.table.members.get(name) for name in names)
         await asyncio.gather(
             *(
-                self._ask(member)
+                self._send_probe(member)
                 for member in members
                 if member is not None and _is_staying(member)
             ),
         )
 
     async def answer_probe(self, probe: Probe) -> Body:
-        """Answer a probe with the news of this host."""
-        self.traffic.receive(probe)
+        """Merge the updates of a probe and answer with those of this host."""
+        self.traffic.count_received(probe)
         self.table.merge_updates(probe.news)
-        return self.traffic.reply(
-            ProbeAnswer(self.table.digests.whole, self._take_news())
+        return self.traffic.count_sent(
+            ProbeAnswer(self.table.digests.whole, self._take_updates())
         )
 
-    async def relay_probe(self, question: RelayProbe) -> Body:
-        """Probe a host for one that does not reach it."""
-        self.traffic.receive(question)
+    async def relay_probe(self, request: RelayProbe) -> Body:
+        """Probe a host on behalf of one that cannot reach it."""
+        self.traffic.count_received(request)
         answer = await self.traffic.exchange(
-            question.address,
+            request.address,
             Probe(self.table.digests.whole),
-            _NEAR_TIMEOUT_S,
+            _SAME_REGION_TIMEOUT_S,
         )
         if isinstance(answer, ProbeAnswer):
-            return self.traffic.reply(answer)
-        return self.traffic.reply(Refusal('host-unreachable', question.address))
+            return self.traffic.count_sent(answer)
+        return self.traffic.count_sent(
+            Refusal('host-unreachable', request.address)
+        )
 
-    async def list_members(self, question: FetchMembers) -> Body:
-        """Answer with the members in which two tables differ."""
-        self.traffic.receive(question)
-        members = self.table.find_differences(question.digests)
-        return self.traffic.reply(MemberList(members))
+    async def list_members(self, request: FetchMembers) -> Body:
+        """Return the members of the parts that differ from those asked with."""
+        self.traffic.count_received(request)
+        members = self.table.find_differences(request.digests)
+        return self.traffic.count_sent(MemberList(members))
 
-    async def _probe(self, subject: Member) -> None:
-        answered = await self._ask(subject) or await self._ask_relays(subject)
+    async def _probe(self, target: Member) -> None:
+        answered = await self._send_probe(
+            target
+        ) or await self._probe_through_relays(target)
         if answered:
-            self.detector.accept_answer(subject.name)
+            self.detector.record_answer(target.name)
         else:
             now_s = self._clock.monotonic()
-            self.detector.accept_failure(subject.name, now_s)
+            self.detector.record_failure(target.name, now_s)
 
-    async def _ask(self, subject: Member) -> bool:
-        news = self._take_news()
-        if subject.status is not MemberStatus.alive:
-            # The host must be told what is believed about it to refute it.
-            news = (*news, subject)
+    async def _send_probe(self, target: Member) -> bool:
+        updates = self._take_updates()
+        if target.status is not MemberStatus.alive:
+            # The host can refute a wrong status only if it is told of it.
+            updates = (*updates, target)
         answer = await self.traffic.exchange(
-            subject.controller,
-            Probe(self.table.digests.whole, news),
-            _find_timeout(self.table.me, subject),
+            target.controller,
+            Probe(self.table.digests.whole, updates),
+            _find_timeout(self.table.local_member, target),
         )
         if not isinstance(answer, ProbeAnswer):
             return False
         self.table.merge_updates(answer.news)
         if answer.digest != self.table.digests.whole:
-            await self._sync(subject)
+            await self._fetch_differences(target)
         return True
 
-    async def _ask_relays(self, subject: Member) -> bool:
-        for relay in self.detector.choose_relays(subject):
+    async def _probe_through_relays(self, target: Member) -> bool:
+        for relay in self.detector.choose_relays(target):
             answer = await self.traffic.exchange(
                 relay.controller,
-                RelayProbe(subject.controller),
-                _NEAR_TIMEOUT_S + _find_timeout(self.table.me, relay),
+                RelayProbe(target.controller),
+                _SAME_REGION_TIMEOUT_S
+                + _find_timeout(self.table.local_member, relay),
             )
             if isinstance(answer, ProbeAnswer):
                 self.table.merge_updates(answer.news)
                 return True
         return False
 
-    async def _sync(self, peer: Member) -> None:
-        """Fetch what differs, seldom, since news mostly brings it."""
+    async def _fetch_differences(self, peer: Member) -> None:
+        """Fetch the members that differ, at most once in 15 seconds.
+
+        Gossip normally delivers all updates, so this is seldom needed.
+        """
         now_s = self._clock.monotonic()
-        if now_s - self._synced_s < _SYNC_PERIOD_S:
+        if now_s - self._last_sync_s < _SYNC_PERIOD_S:
             return
         answer = await self.traffic.exchange(
             peer.controller,
             FetchMembers(self.table.digests.parts),
-            _FAR_TIMEOUT_S,
+            _OTHER_REGION_TIMEOUT_S,
         )
         if isinstance(answer, MemberList):
-            self._synced_s = now_s
+            self._last_sync_s = now_s
             self.table.merge_updates(answer.members)
 
-    def _take_news(self) -> tuple[Member, ...]:
+    def _take_updates(self) -> tuple[Member, ...]:
         return self.table.gossip.take(len(self.table.members))
 
 
@@ -163,5 +180,9 @@
     return member.status is MemberStatus.alive and not member.is_leaving
 
 
-def _find_timeout(me: Member, peer: Member) -> float:
-    return _NEAR_TIMEOUT_S if peer.region == me.region else _FAR_TIMEOUT_S
+def _find_timeout(local_member: Member, peer: Member) -> float:
+    return (
+        _SAME_REGION_TIMEOUT_S
+        if peer.region == local_member.region
+        else _OTHER_REGION_TIMEOUT_S
+    )
--- a/crocusshunt/membership/_digests.py
+++ b/crocusshunt/membership/_digests.py
@@ -1,4 +1,4 @@
-"""Digests by which two tables of members are compared."""
+"""Digests to compare two tables of members without sending them."""
 
 from hashlib import blake2b
 from itertools import repeat
@@ -11,7 +11,11 @@
 
 
 class PartDigests:
-    """Digest of each part of a table, kept up by difference.
+    """Digest of each part of a table of members.
+
+    The table is divided into 64 parts by a hash of the host's name. The digest
+    of a part is the XOR of the digests of its members, so that a change needs
+    no new pass over the table.
 
     >>> digests = PartDigests()
     >>> digests.toggle(Member('h1', 'addis', 'a', '', ''))
@@ -30,14 +34,14 @@
 
     @property
     def whole(self) -> int:
-        """Return the digest of the whole table."""
+        """Return the XOR of the digests of all parts."""
         combined = 0
         for part in self._parts:
             combined ^= part
         return combined
 
     def toggle(self, member: Member) -> None:
-        """Add a belief, or take away one that was added."""
+        """Add a member to its part, or remove one that was added."""
         self._parts[find_part(member.name)] ^= digest_member(member)
 
     def find_differing(self, parts: tuple[int, ...]) -> frozenset[int]:
@@ -47,11 +51,14 @@
         """
         pairs = zip(parts, self._parts, strict=False)
         return frozenset(
-            place for place, pair in enumerate(pairs) if pair[0] != pair[1]
+            number for number, pair in enumerate(pairs) if pair[0] != pair[1]
         )
 
 
 def find_part(name: str) -> int:
-    """Return the number of the part that a host belongs to."""
+    """Return the number of the part that a host belongs to.
+
+    :param name: name of the host.
+    """
     digest = blake2b(name.encode(), digest_size=_PART_BYTES).digest()
     return int.from_bytes(digest, 'big') % _PARTS
--- a/crocusshunt/membership/_hosts.py
+++ b/crocusshunt/membership/_hosts.py
@@ -1,4 +1,4 @@
-"""The hosts that a process knows."""
+"""The list of hosts that each process keeps."""
 
 import asyncio
 from collections.abc import Iterable
@@ -20,9 +20,11 @@
 
 
 class HostTable:
-    """Keeps the newest list of hosts from the first source that answers.
+    """Keeps the newest list of hosts, fetched from any of several processes.
 
-    :ivar version: grows with each list that differs from the one before.
+    :ivar hosts: all listed hosts, those that are leaving included.
+    :ivar suspects: names of listed hosts that may have failed.
+    :ivar version: incremented by each list that differs from the previous.
     """
 
     def __init__(
@@ -30,7 +32,11 @@
         sources: tuple[str, ...],
         requesters: RequesterPool,
     ) -> None:
-        """Start without hosts."""
+        """Start without hosts.
+
+        :param sources: addresses to fetch the list from, in order of
+            preference.
+        """
         self.hosts: tuple[HostEntry, ...] = ()
         self.suspects: frozenset[str] = frozenset()
         self.version = 0
@@ -38,7 +44,7 @@
         self._requesters = requesters
 
     async def run(self) -> None:
-        """Poll for ever."""
+        """Poll the sources for ever."""
         while True:
             await self.poll()
             await asyncio.sleep(_POLL_S)
@@ -56,7 +62,7 @@
                 return
 
     def replace(self, listing: HostList) -> None:
-        """Take a newer list.
+        """Replace the list by a newer one.
 
         :param listing: the hosts, and which of them may have failed.
         """
@@ -74,13 +80,15 @@
 
 
 def list_usable(region: str, members: Iterable[Member]) -> HostList:
-    """Return the hosts that are not held for lost, seen from a region.
+    """Return the hosts that may be used by a host of a given region.
 
-    What another region cannot reach may well be reached from here, so its
-    verdict counts for a host of this region as mere suspicion.
+    Dead hosts, unreachable hosts of other regions and hosts whose gateway is
+    not known are left out. An unreachable host of the given region is listed
+    as a suspect only: that status comes from another region, while this one
+    may still reach the host.
 
-    :param region: region of the host that answers.
-    :param members: everything believed of all hosts.
+    :param region: region of the host that gives out the list.
+    :param members: the members of that host's table.
     """
     usable = [
         member
--- a/crocusshunt/membership/_precedence.py
+++ b/crocusshunt/membership/_precedence.py
@@ -1,4 +1,4 @@
-"""Which of two beliefs about a host holds."""
+"""Precedence between two records of the same member."""
 
 from hashlib import blake2b
 
@@ -10,40 +10,41 @@
 _DIGEST_BYTES = 8
 
 
-def merge_members(held: Member, heard: Member) -> Member:
-    """Return the belief that holds, whatever the order of arrival.
+def merge_members(current: Member, received: Member) -> Member:
+    """Return the record that takes precedence, in whatever order they came.
 
     A higher incarnation wins, since only the host itself raises it. Within
-    one incarnation leaving wins over staying, then the worse status.
+    one incarnation leaving wins over staying, then the worse status. A gateway
+    URL that the winning record lacks is taken from the other one.
 
-    :param held: what was believed.
-    :param heard: what was heard of the same host.
+    :param current: the record in the table.
+    :param received: the record of the same host that another host sent.
 
-    >>> held = Member('h1', 'addis', 'a', '', 'tcp://10.0.0.1:1', 3)
-    >>> dead = msgspec.structs.replace(held, status=MemberStatus.dead)
-    >>> merge_members(held, dead).status.name
+    >>> current = Member('h1', 'addis', 'a', '', 'tcp://10.0.0.1:1', 3)
+    >>> dead = msgspec.structs.replace(current, status=MemberStatus.dead)
+    >>> merge_members(current, dead).status.name
     'dead'
-    >>> again = msgspec.structs.replace(held, incarnation=4)
+    >>> again = msgspec.structs.replace(current, incarnation=4)
     >>> merge_members(dead, again).status.name
     'alive'
     """
-    winner = max(held, heard, key=_rank)
-    gateway = winner.gateway or held.gateway or heard.gateway
+    winner = max(current, received, key=_precedence_key)
+    gateway = winner.gateway or current.gateway or received.gateway
     if gateway == winner.gateway:
         return winner
     return msgspec.structs.replace(winner, gateway=gateway)
 
 
 def digest_member(member: Member) -> int:
-    """Return a digest of a belief; digests of a table combine by XOR."""
-    beliefs = '\0'.join(str(part) for part in _rank(member))
-    text = f'{member.name}\0{beliefs}'.encode()
+    """Return the digest of a record; digests of a table combine by XOR."""
+    fields = '\0'.join(str(part) for part in _precedence_key(member))
+    text = f'{member.name}\0{fields}'.encode()
     digest = blake2b(text, digest_size=_DIGEST_BYTES).digest()
     return int.from_bytes(digest, 'big')
 
 
 def create_member(entry: HostEntry) -> Member:
-    """Return what an entry of the platform's list says of a host."""
+    """Return the member that an entry of the platform's list describes."""
     return Member(
         name=entry.name,
         region=entry.region,
@@ -55,7 +56,7 @@
 
 
 def create_entry(member: Member) -> HostEntry:
-    """Return a member as an entry for the other processes."""
+    """Return the entry that describes a member to other processes."""
     state = HostState.leaving if member.is_leaving else HostState.live
     return HostEntry(
         member.name,
@@ -67,7 +68,7 @@
     )
 
 
-def _rank(member: Member) -> tuple[int, bool, MemberStatus, str, str]:
+def _precedence_key(member: Member) -> tuple[int, bool, MemberStatus, str, str]:
     return (
         member.incarnation,
         member.is_leaving,
--- a/crocusshunt/membership/_service.py
+++ b/crocusshunt/membership/_service.py
@@ -1,4 +1,4 @@
-"""Membership of a controller: the platform's list corrected by probes."""
+"""Membership in a controller: the platform's list, corrected by probes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -24,13 +24,13 @@
 
 _MILLISECONDS = 1000
 _LISTING_PERIOD_S = 1
-_JITTER = 0.1
+_JITTER_RATIO = 0.1
 
 
 class MembershipService:
     """Probes other controllers and keeps the table of usable hosts.
 
-    :ivar hosts: the hosts, as the other parts of the process see them.
+    :ivar hosts: the usable hosts, for the other parts of the process.
     """
 
     def __init__(
@@ -38,59 +38,66 @@
         identity: HostIdentity,
         listing: HostTable,
         clock: Clock,
-        source: Random,
+        random_source: Random,
         settings: DetectorSettings | None = None,
     ) -> None:
         """Assemble the parts; nothing runs yet.
 
-        :param listing: the platform's list, polled here.
-        :param source: randomness of the pace.
+        :param listing: the platform's list, polled by this service.
+        :param random_source: source of the random choice of hosts and of the
+            jitter of the time between probes.
         """
         self.hosts = HostTable((), RequesterPool())
         self._identity = identity
         self._listing = listing
         self._clock = clock
-        self._source = source
+        self._random_source = random_source
         self._settings = settings or DetectorSettings()
         self._transport = SocketTransport()
         self._agent: MembershipAgent | None = None
-        self._seen_changes = 0
+        self._seen_change_count = 0
 
     def register(self, handlers: Handlers) -> None:
-        """Answer the messages of membership."""
+        """Register the handlers of membership messages."""
         handlers.register(FetchHosts)(self._list_hosts)
         handlers.register(Probe)(self._answer_probe)
         handlers.register(RelayProbe)(self._relay_probe)
         handlers.register(FetchMembers)(self._list_members)
 
     def join(self, address: str) -> None:
-        """Become a member under the address that others can ask.
+        """Become a member, reachable at an address.
 
         :param address: ``tcp://ip:port`` of this host's controller.
         """
         self._agent = MembershipAgent(
-            MemberTable(_create_me(self._identity, address, self._clock)),
+            MemberTable(
+                _create_local_member(self._identity, address, self._clock)
+            ),
             self._transport,
             self._clock,
             self._settings,
-            self._source,
+            self._random_source,
         )
 
     async def run(self) -> None:
-        """Probe and follow the platform's list for ever."""
+        """Probe other hosts and poll the platform's list for ever."""
         agent = self._get_agent()
         settings = self._settings
         await asyncio.gather(
-            self._repeat(self._follow_listing, _LISTING_PERIOD_S),
-            self._repeat(agent.probe_same_region, settings.near_period_s),
-            self._repeat(agent.probe_other_region, settings.far_period_s),
-            self._repeat(agent.probe_lost, settings.rejoin_period_s),
+            self._run_periodically(self._poll_listing, _LISTING_PERIOD_S),
+            self._run_periodically(
+                agent.probe_same_region, settings.same_region_period_s
+            ),
+            self._run_periodically(
+                agent.probe_other_region, settings.other_region_period_s
+            ),
+            self._run_periodically(agent.probe_lost, settings.rejoin_period_s),
         )
 
-    async def leave(self, *, is_leaving: bool = True) -> None:
-        """Tell other hosts at once that this one leaves, or is back."""
+    async def set_leaving(self, *, is_leaving: bool = True) -> None:
+        """Announce at once that this host is leaving, or that it is back."""
         agent = self._get_agent()
-        agent.table.leave(is_leaving=is_leaving)
+        agent.table.set_leaving(is_leaving=is_leaving)
         self._publish()
         await agent.announce()
 
@@ -100,10 +107,12 @@
 
     def _get_agent(self) -> MembershipAgent:
         if self._agent is None:
-            raise RuntimeError('join before run')
+            raise RuntimeError(
+                'join() must be called before the membership is used'
+            )
         return self._agent
 
-    async def _repeat(
+    async def _run_periodically(
         self,
         work: Callable[[], Awaitable[None]],
         period_s: float,
@@ -111,10 +120,10 @@
         while True:
             await work()
             self._publish()
-            spread = self._source.uniform(-_JITTER, _JITTER)
+            spread = self._random_source.uniform(-_JITTER_RATIO, _JITTER_RATIO)
             await asyncio.sleep(period_s * (1 + spread))
 
-    async def _follow_listing(self) -> None:
+    async def _poll_listing(self) -> None:
         await self._listing.poll()
         self._get_agent().table.merge_listing(self._listing.hosts)
 
@@ -122,33 +131,37 @@
         agent = self._get_agent()
         table = agent.table
         if not (self._listing.hosts or agent.has_synced):
-            # A host that only just started knows too few to list them.
+            # A host that has just started knows too few hosts to publish them.
             return
-        if table.changes != self._seen_changes:
-            self._seen_changes = table.changes
+        if table.change_count != self._seen_change_count:
+            self._seen_change_count = table.change_count
             region = self._identity.region
             self.hosts.replace(list_usable(region, table.members.values()))
 
-    async def _list_hosts(self, question: FetchHosts) -> Body:
+    async def _list_hosts(self, request: FetchHosts) -> Body:
         self._publish()
         return HostList(self.hosts.hosts, tuple(sorted(self.hosts.suspects)))
 
     async def _answer_probe(self, probe: Probe) -> Body:
         return await self._get_agent().answer_probe(probe)
 
-    async def _relay_probe(self, question: RelayProbe) -> Body:
-        return await self._get_agent().relay_probe(question)
+    async def _relay_probe(self, request: RelayProbe) -> Body:
+        return await self._get_agent().relay_probe(request)
 
-    async def _list_members(self, question: FetchMembers) -> Body:
-        return await self._get_agent().list_members(question)
+    async def _list_members(self, request: FetchMembers) -> Body:
+        return await self._get_agent().list_members(request)
 
 
-def _create_me(
+def _create_local_member(
     identity: HostIdentity,
     address: str,
     clock: Clock,
 ) -> Member:
-    """Return this host; its incarnation is the time of its start."""
+    """Return the member that describes this host.
+
+    Its incarnation is the wall-clock time of the start, in milliseconds, so
+    that it normally grows with each restart.
+    """
     return Member(
         name=identity.name,
         region=identity.region,
--- a/crocusshunt/membership/_transport.py
+++ b/crocusshunt/membership/_transport.py
@@ -1,4 +1,4 @@
-"""Sockets to the hosts that are probed."""
+"""Message exchange with the controllers of other hosts."""
 
 from collections import Counter, OrderedDict
 from typing import Protocol, TypeVar
@@ -7,13 +7,13 @@
 
 from crocusshunt.messages import Body, Codec, Requester, TransportError
 
-_MOST_SOCKETS = 64
+_MAX_SOCKETS = 64
 
 _BodyType = TypeVar('_BodyType', bound=Body)
 
 
 class Transport(Protocol):
-    """Exchange of messages with hosts."""
+    """Exchanges messages with hosts."""
 
     async def exchange(
         self,
@@ -27,8 +27,8 @@
 class SocketTransport:
     """Exchanges messages over a bounded number of sockets.
 
-    The socket used longest ago is closed, so lost hosts are not dialled for
-    ever.
+    Of more than 64 sockets the least recently used one is closed, so that
+    connections to hosts that are gone are not retried for ever.
     """
 
     def __init__(self) -> None:
@@ -45,7 +45,7 @@
         return await self._get(address).exchange(body, timeout_s)
 
     def drop(self, address: str) -> None:
-        """Close the socket to a host that is lost."""
+        """Close the socket to an address."""
         requester = self._requesters.pop(address, None)
         if requester is not None:
             requester.close()
@@ -59,20 +59,20 @@
         if address not in self._requesters:
             self._requesters[address] = Requester(address)
         self._requesters.move_to_end(address)
-        if len(self._requesters) > _MOST_SOCKETS:
+        if len(self._requesters) > _MAX_SOCKETS:
             self.drop(next(iter(self._requesters)))
         return self._requesters[address]
 
 
 class Traffic:
-    """Exchanges messages, and counts them and their bytes.
+    """Exchanges messages and counts them and their encoded size.
 
     :ivar messages: messages by direction, ``sent`` or ``received``.
     :ivar bytes: bytes of these messages by direction.
     """
 
     def __init__(self, transport: Transport) -> None:
-        """Start at zero."""
+        """Start with all counters at zero."""
         self.messages: Counter[str] = Counter()
         self.bytes: Counter[str] = Counter()
         self._transport = transport
@@ -84,20 +84,20 @@
         body: Body,
         timeout_s: float,
     ) -> Body | None:
-        """Send a message and return its answer, None without one."""
+        """Send a message and return its answer, None after a failure."""
         self._count('sent', body)
         answer = await self._transport.exchange(address, body, timeout_s)
         if isinstance(answer, Err):
             return None
-        return self.receive(answer.ok_value)
+        return self.count_received(answer.ok_value)
 
-    def receive(self, body: _BodyType) -> _BodyType:
-        """Count a message that came, and return it."""
+    def count_received(self, body: _BodyType) -> _BodyType:
+        """Count a received message and return it."""
         self._count('received', body)
         return body
 
-    def reply(self, body: Body) -> Body:
-        """Count an answer that is sent, and return it."""
+    def count_sent(self, body: Body) -> Body:
+        """Count an answer to be sent and return it."""
         self._count('sent', body)
         return body
 
--- a/crocusshunt/membership/tests/network.py
+++ b/crocusshunt/membership/tests/network.py
@@ -1,4 +1,4 @@
-"""Hosts that talk in memory, under one clock."""
+"""Hosts that exchange messages in memory, under one manual clock."""
 
 import random
 
@@ -22,13 +22,14 @@
 )
 from crocusshunt.store import HostEntry, HostState
 
-_REJOIN_ROUNDS = 5
+_REJOIN_PERIOD_S = 5
 
 
 def create_listing(regions: str, hosts: int) -> tuple[HostEntry, ...]:
-    """Return a list of hosts, some in each region.
+    """Return a list with the same number of hosts in each region.
 
-    :param regions: one letter for each region.
+    :param regions: the names of the regions, one letter each.
+    :param hosts: number of hosts in each region.
     """
     return tuple(
         HostEntry(
@@ -44,22 +45,22 @@
 
 
 class Network:
-    """Hosts of a deployment; paths between them can be cut."""
+    """Hosts of a deployment; regions can be cut off from each other."""
 
     def __init__(self, listing: tuple[HostEntry, ...], seed: int) -> None:
         """Start all hosts, each of which knows the whole list."""
         self.clock = ManualClock()
         self.listing = listing
         self.agents: dict[str, MembershipAgent] = {}
-        self.down: set[str] = set()
-        self.cuts: set[frozenset[str]] = set()
-        self._source = random.Random(seed)
+        self.stopped_hosts: set[str] = set()
+        self.cut_regions: set[frozenset[str]] = set()
+        self._random_source = random.Random(seed)
         for entry in listing:
             self.start(entry)
 
     def start(self, entry: HostEntry, incarnation: int = 1) -> None:
         """Start a host, or start it again."""
-        me = Member(
+        local_member = Member(
             entry.name,
             entry.region,
             entry.failure_domain,
@@ -67,29 +68,29 @@
             entry.controller,
             incarnation,
         )
-        table = MemberTable(me)
+        table = MemberTable(local_member)
         self.agents[entry.name] = MembershipAgent(
             table,
-            _Path(self, entry),
+            _NetworkTransport(self, entry),
             self.clock,
             DetectorSettings(),
-            self._source,
+            self._random_source,
         )
         table.merge_listing(self.listing)
-        self.down.discard(entry.name)
+        self.stopped_hosts.discard(entry.name)
 
     async def run(self, seconds: int) -> None:
         """Let every host probe once a second."""
         for _ in range(seconds):
             for name, agent in tuple(self.agents.items()):
-                if name not in self.down:
+                if name not in self.stopped_hosts:
                     await self._probe(agent)
             self.clock.advance(1)
 
     def list_live(self, name: str) -> set[str]:
-        """Return the names of the hosts that a host would offer."""
+        """Return the live hosts without suspects that a host would publish."""
         table = self.agents[name].table
-        listing = list_usable(table.me.region, table.members.values())
+        listing = list_usable(table.local_member.region, table.members.values())
         return {
             host.name
             for host in listing.hosts
@@ -99,16 +100,19 @@
 
     async def deliver(
         self,
-        source: HostEntry,
+        sender: HostEntry,
         address: str,
         body: Body,
     ) -> Result[Body, TransportError]:
-        """Carry a message and its answer, unless the path is cut."""
+        """Deliver a message and its answer, unless the regions are cut off."""
         target = address.removeprefix('tcp://')
         agent = self.agents.get(target)
-        if agent is None or target in self.down:
+        if agent is None or target in self.stopped_hosts:
             return Err(PeerTimeoutError(address))
-        if frozenset((source.region, agent.table.me.region)) in self.cuts:
+        if (
+            frozenset((sender.region, agent.table.local_member.region))
+            in self.cut_regions
+        ):
             return Err(PeerTimeoutError(address))
         if isinstance(body, Probe):
             return Ok(await agent.answer_probe(body))
@@ -120,14 +124,14 @@
     async def _probe(self, agent: MembershipAgent) -> None:
         await agent.probe_same_region()
         await agent.probe_other_region()
-        if int(self.clock.monotonic()) % _REJOIN_ROUNDS == 0:
+        if int(self.clock.monotonic()) % _REJOIN_PERIOD_S == 0:
             await agent.probe_lost()
 
 
-class _Path:
-    def __init__(self, network: Network, source: HostEntry) -> None:
+class _NetworkTransport:
+    def __init__(self, network: Network, sender: HostEntry) -> None:
         self._network = network
-        self._source = source
+        self._sender = sender
 
     async def exchange(
         self,
@@ -135,4 +139,4 @@
         body: Body,
         timeout_s: float,
     ) -> Result[Body, TransportError]:
-        return await self._network.deliver(self._source, address, body)
+        return await self._network.deliver(self._sender, address, body)
--- a/crocusshunt/membership/tests/test_membership.py
+++ b/crocusshunt/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Hosts that fail, restart, leave, and regions that lose each other."""
+"""Hosts that fail, restart and leave, and regions cut off from each other."""
 
 from dataclasses import replace
 from itertools import permutations
@@ -9,7 +9,7 @@
 
 from crocusshunt.membership import (
     MemberTable,
-    assign_subjects,
+    assign_probe_targets,
     list_usable,
     merge_members,
 )
@@ -21,11 +21,11 @@
 _ME = Member('a0', 'a', 'a-0', 'http://a0', 'tcp://a0', 4)
 
 
-def _list_region(network: Network, region: str) -> set[str]:
+def _list_hosts_of_region(network: Network, region: str) -> set[str]:
     return {host.name for host in network.listing if host.region == region}
 
 
-_beliefs = st.builds(
+_records = st.builds(
     Member,
     name=st.just('a0'),
     region=st.just('a'),
@@ -39,37 +39,39 @@
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(st.lists(_beliefs, min_size=3, max_size=3))
-def test_beliefs_agree_in_any_order(beliefs: list[Member]) -> None:
-    """Hosts that heard the same news in another order believe the same."""
+@given(st.lists(_records, min_size=3, max_size=3))
+def test_merged_records_do_not_depend_on_the_order(
+    records: list[Member],
+) -> None:
+    """Hosts that get the same updates in another order end up equal."""
     outcomes = set()
-    for first, *rest in permutations(beliefs):
-        held = first
-        for heard in (*rest, first):
-            held = merge_members(held, heard)
-        outcomes.add(msgspec.json.encode(held))
+    for first, *rest in permutations(records):
+        current = first
+        for received in (*rest, first):
+            current = merge_members(current, received)
+        outcomes.add(msgspec.json.encode(current))
     assert len(outcomes) == 1
 
 
 def test_probing_is_bounded_and_complete() -> None:
-    """Every region probes every host; a host probes few, however many."""
+    """Every region probes every host; each host probes at most 5 others."""
     probed: dict[str, set[str]] = {}
     listing = create_listing('abcd', 60)
     hosts = [Member(host.name, host.region, '', '', '') for host in listing]
     for host in hosts:
-        subjects = assign_subjects(host.name, hosts)
-        assert len(subjects.near) <= 2
-        assert len(subjects.far) == 3
-        for name in subjects.near + subjects.far:
+        targets = assign_probe_targets(host.name, hosts)
+        assert len(targets.same_region) <= 2
+        assert len(targets.other_regions) == 3
+        for name in targets.same_region + targets.other_regions:
             probed.setdefault(name, set()).add(host.region)
     assert all(len(probed[host.name]) == 4 for host in hosts)
 
 
 async def test_failed_host_is_suspected_then_dead() -> None:
-    """Suspicion takes a host off the first places, a verdict off the list."""
+    """A host that stops answering is first suspect and then dead."""
     network = Network(create_listing('abc', 3), _SEED)
     await network.run(10)
-    network.down.add('b1')
+    network.stopped_hosts.add('b1')
     await network.run(2)
     member = network.agents['b0'].table.members['b1']
     assert member.status is MemberStatus.suspect
@@ -83,10 +85,13 @@
 
 
 async def test_restart_at_the_same_address_is_a_new_incarnation() -> None:
-    """A restart is believed at once, also when its clock went back."""
+    """A restart is accepted at once, even if the host's clock went back.
+
+    Its lower incarnation is raised by refutation.
+    """
     network = Network(create_listing('ab', 3), _SEED)
     await network.run(5)
-    network.down.add('b1')
+    network.stopped_hosts.add('b1')
     await network.run(20)
     assert 'b1' not in network.list_live('a0')
     network.start(network.listing[4], incarnation=0)
@@ -99,20 +104,22 @@
     assert all('b1' in network.list_live(name) for name in network.agents)
 
 
-async def test_regions_lose_each_other_and_find_each_other_again() -> None:
-    """Neither holds the other for dead, and each keeps its own hosts."""
+async def test_regions_cut_off_from_each_other_recover() -> None:
+    """Neither region declares hosts dead, and each keeps its own hosts."""
     network = Network(create_listing('ab', 4), _SEED)
     await network.run(5)
-    network.cuts.add(frozenset('ab'))
+    network.cut_regions.add(frozenset('ab'))
     await network.run(3600)
     for name in network.agents:
-        assert network.list_live(name) == _list_region(network, name[0])
+        assert network.list_live(name) == _list_hosts_of_region(
+            network, name[0]
+        )
         statuses = {
             member.status
             for member in network.agents[name].table.members.values()
         }
         assert MemberStatus.dead not in statuses
-    network.cuts.clear()
+    network.cut_regions.clear()
     for _ in range(30):
         await network.run(1)
         for name, agent in network.agents.items():
@@ -123,34 +130,37 @@
     assert all(network.list_live(name) == everyone for name in network.agents)
 
 
-async def test_cut_between_two_regions_is_bridged_by_the_third() -> None:
-    """A host that a third region reaches is not held for lost."""
+async def test_third_region_relays_between_two_regions_cut_off() -> None:
+    """A host that a third region reaches is not declared unreachable."""
     network = Network(create_listing('abc', 3), _SEED)
-    network.cuts.add(frozenset('ab'))
+    network.cut_regions.add(frozenset('ab'))
     await network.run(60)
     everyone = {host.name for host in network.listing}
     assert all(network.list_live(name) == everyone for name in network.agents)
 
 
 async def test_leaving_is_known_before_the_next_probe() -> None:
-    """A planned stop reaches the probed hosts at once, and sticks."""
+    """A planned stop reaches all probe targets at once and stays known."""
     network = Network(create_listing('ab', 3), _SEED)
     await network.run(5)
     agent = network.agents['b1']
-    agent.table.leave()
+    agent.table.set_leaving()
     await agent.announce()
-    told = agent.detector.subjects.near + agent.detector.subjects.far
-    assert told
-    assert all('b1' not in network.list_live(name) for name in told)
+    probed_hosts = (
+        agent.detector.targets.same_region
+        + agent.detector.targets.other_regions
+    )
+    assert probed_hosts
+    assert all('b1' not in network.list_live(name) for name in probed_hosts)
     await network.run(8)
     assert all('b1' not in network.list_live(name) for name in network.agents)
 
 
-async def test_wrong_list_is_corrected_both_ways() -> None:
-    """An unlisted host is used, a listed one that does not answer is not."""
+async def test_wrong_list_is_corrected_by_probes() -> None:
+    """An unlisted live host is used; a listed one that is down is not."""
     listing = create_listing('ab', 4)
     network = Network(listing, _SEED)
-    network.down.add('a1')
+    network.stopped_hosts.add('a1')
     await network.run(20)
     short = tuple(host for host in listing if host.name != 'b2')
     for agent in network.agents.values():
@@ -162,7 +172,7 @@
 
 
 def test_old_listing_does_not_overrule_a_restart() -> None:
-    """A host listed as leaving in its former life is used in its next."""
+    """A host that was listed as leaving is used again after its restart."""
     entry = create_listing('ab', 1)[1]
     leaving = replace(entry, state=HostState.leaving)
     table = MemberTable(_ME)
@@ -175,10 +185,10 @@
 
 
 def test_lost_host_is_forgotten_once_unlisted() -> None:
-    """The table does not grow with every host that ever was."""
+    """The table does not grow with hosts that no longer exist."""
     first, second = create_listing('ab', 1)
     table = MemberTable(_ME)
     table.merge_listing((first, second))
-    table.accuse('b0', MemberStatus.unreachable)
+    table.record_status('b0', MemberStatus.unreachable)
     table.merge_listing((first,))
     assert set(table.members) == {'a0'}
