--- a/crocusshunt/relay/_client.py
+++ b/crocusshunt/relay/_client.py
@@ -1,4 +1,4 @@
-"""Table service reached through the operators' interface processes."""
+"""Client of the table service behind the operators' interface processes."""
 
 from dataclasses import dataclass
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelaySettings:
-    """Whom to ask.
+    """Processes to send requests to.
 
     :param sources: addresses asked, in order of preference.
     :param timeout_s: longest wait for one answer, in seconds.
@@ -40,11 +40,14 @@
 
 
 class RelayedTables:
-    """A table service behind any of several processes.
+    """A table service that is reached through any of several processes.
 
-    Reads go to the next source after a failure. A transaction is sent once:
-    after a timeout its outcome is unknown, and its sender must read what
-    became of it.
+    After a failure a read is sent to the next source. A transaction is sent
+    only once: after a timeout its outcome is unknown, and the caller must read
+    the rows to learn it.
+
+    :ivar _source_index: number of the next source to ask, counted up after
+        each failure and taken modulo the number of sources.
     """
 
     def __init__(
@@ -52,17 +55,17 @@
         settings: RelaySettings,
         requesters: RequesterPool,
     ) -> None:
-        """Use shared requesters."""
+        """Use shared sockets, starting with the first source."""
         self._settings = settings
         self._requesters = requesters
-        self._first = 0
+        self._source_index = 0
 
     async def read(
         self,
         table: str,
         key: str,
     ) -> Result[StoredRow | None, StoreError]:
-        """Return a row, None where it is absent."""
+        """Return a row, None if it does not exist."""
         rows = await self._fetch(ReadRow(table, key))
         return rows.map(lambda found: found[0] if found else None)
 
@@ -70,41 +73,43 @@
         self,
         query: Query,
     ) -> Result[tuple[StoredRow, ...], StoreError]:
-        """Return the rows of a range, in the order of their keys."""
+        """Return the rows of a key range, in the order of their keys."""
         return await self._fetch(QueryRows(query))
 
     async def transact(
         self,
         writes: tuple[Write, ...],
     ) -> Result[None, StoreError]:
-        """Do all writes, or none if one condition does not hold."""
-        answer = await self._ask(TransactRows(writes))
+        """Do all writes, or none if the condition of one does not hold."""
+        answer = await self._send(TransactRows(writes))
         if isinstance(answer, Err):
-            self._first += 1
-            return Err(_find_failure(answer.err_value))
+            self._source_index += 1
+            return Err(_convert_error(answer.err_value))
         return _decode_outcome(answer.ok_value)
 
     async def _fetch(
         self,
-        question: Body,
+        request: Body,
     ) -> Result[tuple[StoredRow, ...], StoreError]:
         for _ in self._settings.sources:
-            answer = await self._ask(question)
+            answer = await self._send(request)
             if isinstance(answer, Ok):
                 body = answer.ok_value
                 if isinstance(body, StoredRows):
                     return Ok(body.rows)
-            self._first += 1
-        return Err(StoreUnavailableError('no source gave the rows'))
+            self._source_index += 1
+        return Err(
+            StoreUnavailableError('none of the sources returned the rows')
+        )
 
-    async def _ask(self, question: Body) -> Result[Body, TransportError]:
+    async def _send(self, request: Body) -> Result[Body, TransportError]:
         sources = self._settings.sources
-        source = sources[self._first % len(sources)]
+        source = sources[self._source_index % len(sources)]
         requester = self._requesters.get(source)
-        return await requester.exchange(question, self._settings.timeout_s)
+        return await requester.exchange(request, self._settings.timeout_s)
 
 
-def _find_failure(error: TransportError) -> StoreError:
+def _convert_error(error: TransportError) -> StoreError:
     if not isinstance(error, PeerRefusalError):
         return StoreUnknownOutcomeError(error.describe())
     if error.reason == StoreUnknownOutcomeError.code:
--- a/crocusshunt/relay/_server.py
+++ b/crocusshunt/relay/_server.py
@@ -1,4 +1,4 @@
-"""Answers for processes that reach the table service through this one."""
+"""Handlers that relay requests of other processes to the table service."""
 
 from result import Err
 
@@ -15,52 +15,52 @@
 )
 from crocusshunt.store import StoreConflictError, StoreError, TableStore
 
-# The configuration is written only by the process that checks changes.
+# Configuration tables are written only by the process that validates changes.
 _RESERVED_PREFIX = 'configuration-'
 
 
 def register_relay(handlers: Handlers, store: TableStore) -> None:
-    """Answer reads and transactions from a table service.
+    """Register handlers that pass reads and transactions to a table service.
 
     Transactions on the tables of the configuration are refused.
     """
-    parts = _RelayHandlers(store)
-    handlers.register(ReadRow)(parts.read)
-    handlers.register(QueryRows)(parts.query)
-    handlers.register(TransactRows)(parts.transact)
+    relay_handlers = _RelayHandlers(store)
+    handlers.register(ReadRow)(relay_handlers.read)
+    handlers.register(QueryRows)(relay_handlers.query)
+    handlers.register(TransactRows)(relay_handlers.transact)
 
 
 class _RelayHandlers:
     def __init__(self, store: TableStore) -> None:
         self._store = store
 
-    async def read(self, question: ReadRow) -> Body:
+    async def read(self, request: ReadRow) -> Body:
         """Return one row or none."""
-        row = await self._store.read(question.table, question.key)
+        row = await self._store.read(request.table, request.key)
         if isinstance(row, Err):
-            return _refuse(row.err_value)
+            return _build_refusal(row.err_value)
         found = row.ok_value
         return StoredRows(() if found is None else (found,))
 
-    async def query(self, question: QueryRows) -> Body:
+    async def query(self, request: QueryRows) -> Body:
         """Return a range of rows."""
-        rows = await self._store.query(question.query)
+        rows = await self._store.query(request.query)
         if isinstance(rows, Err):
-            return _refuse(rows.err_value)
+            return _build_refusal(rows.err_value)
         return StoredRows(rows.ok_value)
 
-    async def transact(self, question: TransactRows) -> Body:
-        """Do all writes or none."""
-        for write in question.writes:
+    async def transact(self, request: TransactRows) -> Body:
+        """Do all writes or none; refuse writes to configuration tables."""
+        for write in request.writes:
             if write.table.startswith(_RESERVED_PREFIX):
                 return Refusal('table-reserved', write.table)
-        outcome = await self._store.transact(question.writes)
+        outcome = await self._store.transact(request.writes)
         if isinstance(outcome, Err):
-            return _refuse(outcome.err_value)
+            return _build_refusal(outcome.err_value)
         return Transacted()
 
 
-def _refuse(error: StoreError) -> Body:
+def _build_refusal(error: StoreError) -> Body:
     if isinstance(error, StoreConflictError):
         return WriteConflict(error.table, error.key, error.version)
     return Refusal(error.code, error.describe())
