--- a/crocusshunt/soak/__init__.py
+++ b/crocusshunt/soak/__init__.py
@@ -1,14 +1,14 @@
-"""Randomized faults against real processes, with the promises checked."""
+"""Soak tests: random faults against real processes, guarantees checked."""
 
-from crocusshunt.soak._checks import Terms, Violation, find_violations
+from crocusshunt.soak._checks import CheckLimits, Violation, find_violations
 from crocusshunt.soak._faults import list_faults
 from crocusshunt.soak._plan import PlannedFault, SoakSettings, plan_faults
 from crocusshunt.soak._records import (
     Call,
+    CallOutcome,
     Change,
     ChangeKind,
-    Disturbance,
-    Ending,
+    FaultInterval,
     Records,
     Run,
 )
@@ -16,16 +16,16 @@
 
 __all__ = (
     'Call',
+    'CallOutcome',
     'Change',
     'ChangeKind',
-    'Disturbance',
-    'Ending',
+    'CheckLimits',
+    'FaultInterval',
     'PlannedFault',
     'Records',
     'Run',
     'SoakResult',
     'SoakSettings',
-    'Terms',
     'Violation',
     'find_violations',
     'list_faults',
--- a/crocusshunt/soak/_checks.py
+++ b/crocusshunt/soak/_checks.py
@@ -1,55 +1,61 @@
-"""Promises, checked from what callers and backend servers saw."""
+"""Checks of the guarantees on what callers and backend servers recorded."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from crocusshunt.soak._changes import find_late_runs, find_reversals
+from crocusshunt.soak._change_checks import find_late_runs, find_reversals
 from crocusshunt.soak._records import (
-    TOUCH_S,
+    SETTLING_S,
     Call,
+    CallOutcome,
     ChangeKind,
-    Ending,
     Records,
 )
 
 _RATE_WINDOW_S = 5
-_RATE_EXCESS = 1.1
-_RATE_SLACK = 20
-# Of the calls after all faults have ended.
-_LEAST_RECOVERED = 0.8
-_LEAST_PROBES = 10
+_RATE_TOLERANCE = 1.1
+_RATE_SLACK_REQUESTS = 20
+# Requirements on the calls that are sent after all faults have ended.
+_MIN_ANSWERED_SHARE = 0.8
+_MIN_CALLS_AFTER_FAULTS = 10
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was broken."""
+    """A guarantee that was broken.
+
+    :param promise: name of the guarantee.
+    :param detail: what was seen.
+    """
 
     promise: str
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What the checks hold the hosts to.
-
-    :param rate: of the limited customer, in requests a second.
-    :param burst: its requests at once.
-    :param recovered_from: moment from which calls must be served again.
+class CheckLimits:
+    """Limits that the checks compare the records with.
+
+    :param limited_customer: name of the customer whose rate is checked.
+    :param rate: its rate in requests a second.
+    :param burst: number of requests that it may send at once.
+    :param recovery_from: monotonic time in seconds from which calls must be
+        answered again.
     """
 
-    limited: str
+    limited_customer: str
     rate: float
     burst: float
-    recovered_from: float
+    recovery_from: float
 
 
-Check = Callable[[Records, Terms], Iterator[str]]
+Check = Callable[[Records, CheckLimits], Iterator[str]]
 _CHECKS: dict[str, Check] = {}
 
 
-def promise(name: str) -> Callable[[Check], Check]:
-    """Register a check under the name of its promise."""
+def register_check(name: str) -> Callable[[Check], Check]:
+    """Register a check under the name of its guarantee."""
 
     def register(check: Check) -> Check:
         _CHECKS[name] = check
@@ -58,106 +64,113 @@
     return register
 
 
-def find_violations(records: Records, terms: Terms) -> list[Violation]:
-    """Return every broken promise."""
+def find_violations(records: Records, limits: CheckLimits) -> list[Violation]:
+    """Return all violations of all guarantees."""
     return [
         Violation(name, detail)
         for name, check in sorted(_CHECKS.items())
-        for detail in check(records, terms)
+        for detail in check(records, limits)
     ]
 
 
-@promise('at-most-once')
-def _check_runs(records: Records, _terms: Terms) -> Iterator[str]:
+@register_check('at-most-once')
+def _check_runs(records: Records, _limits: CheckLimits) -> Iterator[str]:
     runs = Counter(run.request_id for run in records.runs)
     for call in records.calls:
         if not call.is_idempotent and runs[call.request_id] > 1:
             yield f'{call.request_id} ran {runs[call.request_id]} times'
 
 
-@promise('true-refusal')
-def _check_refusals(records: Records, _terms: Terms) -> Iterator[str]:
+@register_check('true-refusal')
+def _check_refusals(records: Records, _limits: CheckLimits) -> Iterator[str]:
     ran = {run.request_id for run in records.runs}
     for call in records.calls:
-        is_wrong = call.ending is Ending.refused and call.request_id in ran
-        if is_wrong and not call.is_idempotent:
+        ran_anyway = (
+            call.outcome is CallOutcome.refused and call.request_id in ran
+        )
+        if ran_anyway and not call.is_idempotent:
             yield f'{call.request_id} got {call.status} and ran'
 
 
-@promise('own-whole-answer')
-def _check_answers(records: Records, _terms: Terms) -> Iterator[str]:
+@register_check('own-whole-answer')
+def _check_answers(records: Records, _limits: CheckLimits) -> Iterator[str]:
     ran = {run.request_id for run in records.runs}
     for call in records.calls:
-        if call.ending in {Ending.foreign, Ending.short}:
-            yield f'{call.request_id} at {call.host}: {call.ending.value}'
-        if call.ending is Ending.answered and call.request_id not in ran:
-            yield f'{call.request_id} was answered without a run'
+        if call.outcome in {CallOutcome.mismatched, CallOutcome.truncated}:
+            yield f'{call.request_id} at {call.host}: {call.outcome.value}'
+        if call.outcome is CallOutcome.answered and call.request_id not in ran:
+            yield f'{call.request_id} was answered, but no server ran it'
 
 
-@promise('keys')
-def _check_keys(records: Records, _terms: Terms) -> Iterator[str]:
+@register_check('keys')
+def _check_keys(records: Records, _limits: CheckLimits) -> Iterator[str]:
     keys = {call.request_id: call.key for call in records.calls}
     for run in records.runs:
-        if run.shows_key:
+        if run.exposes_key:
             yield f'{run.server} saw the key of {run.request_id}'
-        holder = records.keys.get(keys.get(run.request_id, ''))
-        if run.customer != holder:
-            yield f'{run.request_id} ran for {run.customer}, not {holder}'
+        customer = records.customers_by_key.get(keys.get(run.request_id, ''))
+        if run.customer != customer:
+            yield f'{run.request_id} ran for {run.customer}, not {customer}'
 
 
-@promise('rate')
-def _check_rate(records: Records, terms: Terms) -> Iterator[str]:
-    most = (terms.rate * _RATE_WINDOW_S + terms.burst) * _RATE_EXCESS
+@register_check('rate')
+def _check_rate(records: Records, limits: CheckLimits) -> Iterator[str]:
+    limit = (limits.rate * _RATE_WINDOW_S + limits.burst) * _RATE_TOLERANCE
     times = sorted(
-        run.at for run in records.runs if run.customer == terms.limited
+        run.at
+        for run in records.runs
+        if run.customer == limits.limited_customer
     )
     first = 0
     for last, at in enumerate(times):
         while times[first] < at - _RATE_WINDOW_S:
             first += 1
-        if last - first + 1 > most + _RATE_SLACK:
-            yield f'{last - first + 1} requests in 5 s, at most {most:.0f}'
+        if last - first + 1 > limit + _RATE_SLACK_REQUESTS:
+            yield f'{last - first + 1} requests in 5 s, at most {limit:.0f}'
             return
 
 
-@promise('changes-in-force')
-def _check_changes(records: Records, _terms: Terms) -> Iterator[str]:
+@register_check('changes-in-force')
+def _check_changes(records: Records, _limits: CheckLimits) -> Iterator[str]:
     yield from find_late_runs(records)
 
 
-@promise('version-never-reverts')
-def _check_versions(records: Records, _terms: Terms) -> Iterator[str]:
+@register_check('version-never-reverts')
+def _check_versions(records: Records, _limits: CheckLimits) -> Iterator[str]:
     yield from find_reversals(records)
 
 
-@promise('graceful-stop')
-def _check_stops(records: Records, _terms: Terms) -> Iterator[str]:
+@register_check('graceful-stop')
+def _check_stops(records: Records, _limits: CheckLimits) -> Iterator[str]:
     ran = {run.request_id for run in records.runs}
-    cut = [
+    closed_calls = [
         call
         for call in records.calls
-        if call.ending is Ending.closed and call.request_id in ran
+        if call.outcome is CallOutcome.closed and call.request_id in ran
     ]
-    for call in cut:
-        if _is_stopping(records, call) and _is_undisturbed(records, call):
+    for call in closed_calls:
+        if _is_stopping(records, call) and _has_only_planned_faults(
+            records, call
+        ):
             yield f'{call.request_id} was cut by the stop of {call.host}'
 
 
-@promise('recovery')
-def _check_recovery(records: Records, terms: Terms) -> Iterator[str]:
-    late = [
+@register_check('recovery')
+def _check_recovery(records: Records, limits: CheckLimits) -> Iterator[str]:
+    calls = [
         call
         for call in records.calls
-        if call.sent_at >= terms.recovered_from
-        and records.keys.get(call.key) not in {None, terms.limited}
+        if call.sent_at >= limits.recovery_from
+        and records.customers_by_key.get(call.key)
+        not in {None, limits.limited_customer}
         and not _is_withdrawn(records, call.key)
     ]
-    served = sum(call.ending is Ending.answered for call in late)
-    if len(late) < _LEAST_PROBES:
-        yield f'only {len(late)} calls after the faults'
-    elif served < _LEAST_RECOVERED * len(late):
-        endings = Counter(call.ending.value for call in late)
-        yield f'{served} of {len(late)} served after the faults: {endings}'
+    served = sum(call.outcome is CallOutcome.answered for call in calls)
+    if len(calls) < _MIN_CALLS_AFTER_FAULTS:
+        yield f'only {len(calls)} calls after the faults'
+    elif served < _MIN_ANSWERED_SHARE * len(calls):
+        outcomes = Counter(call.outcome.value for call in calls)
+        yield f'{served} of {len(calls)} served after the faults: {outcomes}'
 
 
 def _is_withdrawn(records: Records, key: str) -> bool:
@@ -172,16 +185,16 @@
         stop.is_planned
         and stop.host == call.host
         and stop.start_at <= call.ended_at <= stop.end_at
-        for stop in records.disturbances
+        for stop in records.fault_intervals
     )
 
 
-def _is_undisturbed(records: Records, call: Call) -> bool:
-    """Tell whether only planned stops touched a call."""
+def _has_only_planned_faults(records: Records, call: Call) -> bool:
+    """Tell whether no fault but planned stops could affect a call."""
     return not any(
-        one.host in {'', call.host}
-        and not one.is_planned
-        and one.start_at <= call.ended_at
-        and one.end_at >= call.sent_at - TOUCH_S
-        for one in records.disturbances
+        fault.host in {'', call.host}
+        and not fault.is_planned
+        and fault.start_at <= call.ended_at
+        and fault.end_at >= call.sent_at - SETTLING_S
+        for fault in records.fault_intervals
     )
--- a/crocusshunt/soak/_faults.py
+++ b/crocusshunt/soak/_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are injected from outside the hosts' processes."""
+"""Faults, injected from outside the processes of the hosts."""
 
 import asyncio
 import signal
@@ -6,22 +6,22 @@
 
 from crocusshunt.soak._plan import PlannedFault
 from crocusshunt.soak._processes import HostProcess
-from crocusshunt.soak._proxy import Harm
-from crocusshunt.soak._world import World
+from crocusshunt.soak._proxy import LinkFault
+from crocusshunt.soak._system import SoakSystem
 
-# A host that starts anew is not held to bounds until it has caught up.
-_START_S = 4
-_PAUSE_AFTER_KILL_S = 0.3
-_GRACE_S = 7
+# A restarted host is exempt from the time limits until it has caught up.
+_STARTUP_S = 4
+_RESTART_DELAY_S = 0.3
+_STOP_TIMEOUT_S = 7
 
-Inject = Callable[[World, PlannedFault], Awaitable[None]]
-_FAULTS: dict[str, Inject] = {}
+FaultInjector = Callable[[SoakSystem, PlannedFault], Awaitable[None]]
+_FAULTS: dict[str, FaultInjector] = {}
 
 
-def fault(name: str) -> Callable[[Inject], Inject]:
-    """Register a fault."""
+def register_fault(name: str) -> Callable[[FaultInjector], FaultInjector]:
+    """Register the function that injects a fault under its name."""
 
-    def register(inject: Inject) -> Inject:
+    def register(inject: FaultInjector) -> FaultInjector:
         _FAULTS[name] = inject
         return inject
 
@@ -33,115 +33,135 @@
     return tuple(sorted(_FAULTS))
 
 
-async def inject_fault(world: World, planned: PlannedFault) -> None:
-    """Inject a fault and undo it at its end."""
-    await _FAULTS[planned.kind](world, planned)
+async def inject_fault(system: SoakSystem, planned: PlannedFault) -> None:
+    """Inject a fault, and undo it after its duration."""
+    await _FAULTS[planned.kind](system, planned)
 
 
-def _pick_host(world: World, planned: PlannedFault) -> HostProcess:
-    return world.hosts[int(planned.place * len(world.hosts))]
+def _pick_host(system: SoakSystem, planned: PlannedFault) -> HostProcess:
+    return system.hosts[int(planned.place * len(system.hosts))]
 
 
-@fault('kill-host')
-async def _kill_host(world: World, planned: PlannedFault) -> None:
-    host = _pick_host(world, planned)
+@register_fault('kill-host')
+async def _kill_host(system: SoakSystem, planned: PlannedFault) -> None:
+    host = _pick_host(system, planned)
     if not host.is_running:
         return
-    world.disturb('kill-host', host.name, _PAUSE_AFTER_KILL_S + _START_S)
-    host.signal(signal.SIGCONT)
-    host.signal(signal.SIGKILL)
-    await host.wait(_GRACE_S)
-    await asyncio.sleep(_PAUSE_AFTER_KILL_S)
+    system.record_fault('kill-host', host.name, _RESTART_DELAY_S + _STARTUP_S)
+    host.send_signal(signal.SIGCONT)
+    host.send_signal(signal.SIGKILL)
+    await host.wait(_STOP_TIMEOUT_S)
+    await asyncio.sleep(_RESTART_DELAY_S)
     host.start()
 
 
-@fault('stop-host')
-async def _stop_host(world: World, planned: PlannedFault) -> None:
-    host = _pick_host(world, planned)
+@register_fault('stop-host')
+async def _stop_host(system: SoakSystem, planned: PlannedFault) -> None:
+    host = _pick_host(system, planned)
     if not host.is_running:
         return
-    world.disturb('stop-host', host.name, _GRACE_S, is_planned=True)
-    host.signal(signal.SIGTERM)
-    if await host.wait(_GRACE_S) is None:
-        world.disturb('overlong-stop', host.name, _START_S)
-        host.signal(signal.SIGKILL)
-        await host.wait(_GRACE_S)
+    system.record_fault(
+        'stop-host', host.name, _STOP_TIMEOUT_S, is_planned=True
+    )
+    host.send_signal(signal.SIGTERM)
+    if await host.wait(_STOP_TIMEOUT_S) is None:
+        system.record_fault('overlong-stop', host.name, _STARTUP_S)
+        host.send_signal(signal.SIGKILL)
+        await host.wait(_STOP_TIMEOUT_S)
     if not host.is_running:
-        world.disturb('start-host', host.name, _START_S)
+        system.record_fault('start-host', host.name, _STARTUP_S)
         host.start()
 
 
-@fault('pause-host')
-async def _pause_host(world: World, planned: PlannedFault) -> None:
-    host = _pick_host(world, planned)
-    world.disturb('pause-host', host.name, planned.for_s)
-    host.signal(signal.SIGSTOP)
+@register_fault('pause-host')
+async def _pause_host(system: SoakSystem, planned: PlannedFault) -> None:
+    host = _pick_host(system, planned)
+    system.record_fault('pause-host', host.name, planned.for_s)
+    host.send_signal(signal.SIGSTOP)
     await asyncio.sleep(planned.for_s)
-    host.signal(signal.SIGCONT)
+    host.send_signal(signal.SIGCONT)
 
 
-@fault('reload-host')
-async def _reload_host(world: World, planned: PlannedFault) -> None:
-    host = _pick_host(world, planned)
+@register_fault('reload-host')
+async def _reload_host(system: SoakSystem, planned: PlannedFault) -> None:
+    host = _pick_host(system, planned)
     host.write_settings()
-    host.signal(signal.SIGHUP)
-
-
-@fault('harm-store-link')
-async def _harm_store_link(world: World, planned: PlannedFault) -> None:
-    host = _pick_host(world, planned)
-    harms = (Harm.delay, Harm.reset, Harm.silence, Harm.lose_answers)
-    harm = harms[int(planned.for_s * 1000) % len(harms)]
-    world.disturb(f'store-link-{harm.value}', host.name, planned.for_s)
-    proxy = world.store_proxies[host.name]
-    proxy.harm = harm
-    if harm is Harm.reset:
+    host.send_signal(signal.SIGHUP)
+
+
+@register_fault('harm-store-link')
+async def _disturb_store_link(
+    system: SoakSystem, planned: PlannedFault
+) -> None:
+    host = _pick_host(system, planned)
+    link_faults = (
+        LinkFault.delay,
+        LinkFault.reset,
+        LinkFault.silence,
+        LinkFault.lose_answers,
+    )
+    link_fault = link_faults[int(planned.for_s * 1000) % len(link_faults)]
+    system.record_fault(
+        f'store-link-{link_fault.value}', host.name, planned.for_s
+    )
+    proxy = system.store_proxies[host.name]
+    proxy.link_fault = link_fault
+    if link_fault is LinkFault.reset:
         proxy.reset_all()
     await asyncio.sleep(planned.for_s)
-    proxy.harm = Harm.none
+    proxy.link_fault = LinkFault.none
     proxy.reset_all()
 
 
-@fault('harm-server-link')
-async def _harm_server_link(world: World, planned: PlannedFault) -> None:
-    server = world.pick_server(planned.place)
+@register_fault('harm-server-link')
+async def _disturb_server_link(
+    system: SoakSystem, planned: PlannedFault
+) -> None:
+    server = system.pick_server(planned.place)
     if server.proxy is None:
         return
-    harms = (Harm.delay, Harm.reset, Harm.silence, Harm.lose_answers)
-    harm = harms[int(planned.for_s * 1000) % len(harms)]
-    world.disturb(f'server-link-{harm.value}', '', planned.for_s)
-    server.proxy.harm = harm
-    if harm is Harm.reset:
+    link_faults = (
+        LinkFault.delay,
+        LinkFault.reset,
+        LinkFault.silence,
+        LinkFault.lose_answers,
+    )
+    link_fault = link_faults[int(planned.for_s * 1000) % len(link_faults)]
+    system.record_fault(f'server-link-{link_fault.value}', '', planned.for_s)
+    server.proxy.link_fault = link_fault
+    if link_fault is LinkFault.reset:
         server.proxy.reset_all()
     await asyncio.sleep(planned.for_s)
-    server.proxy.harm = Harm.none
+    server.proxy.link_fault = LinkFault.none
     server.proxy.reset_all()
 
 
-@fault('store-down')
-async def _store_down(world: World, planned: PlannedFault) -> None:
-    world.disturb('store-down', '', planned.for_s)
-    world.store.faults.is_down = True
+@register_fault('store-down')
+async def _take_store_down(system: SoakSystem, planned: PlannedFault) -> None:
+    system.record_fault('store-down', '', planned.for_s)
+    system.store.faults.is_down = True
     await asyncio.sleep(planned.for_s)
-    world.store.faults.is_down = False
+    system.store.faults.is_down = False
 
 
-@fault('store-forgets')
-async def _forget_history(world: World, planned: PlannedFault) -> None:
-    world.store.forget_history()
+@register_fault('store-forgets')
+async def _truncate_store_history(
+    system: SoakSystem, planned: PlannedFault
+) -> None:
+    system.store.forget_history()
 
 
-@fault('withdraw-key')
-async def _withdraw_key(world: World, planned: PlannedFault) -> None:
-    world.withdraw_key()
+@register_fault('withdraw-key')
+async def _withdraw_key(system: SoakSystem, planned: PlannedFault) -> None:
+    system.withdraw_key()
 
 
-@fault('move-routes')
-async def _move_routes(world: World, planned: PlannedFault) -> None:
-    await world.move_routes()
+@register_fault('move-routes')
+async def _move_routes(system: SoakSystem, planned: PlannedFault) -> None:
+    await system.move_routes()
 
 
-@fault('drain-server')
-async def _drain_server(world: World, planned: PlannedFault) -> None:
-    server = world.pick_server(planned.place)
-    await world.drain_server(server, planned.for_s)
+@register_fault('drain-server')
+async def _drain_server(system: SoakSystem, planned: PlannedFault) -> None:
+    server = system.pick_server(planned.place)
+    await system.drain_server(server, planned.for_s)
--- /dev/null
+++ b/crocusshunt/soak/_load.py
@@ -0,0 +1,123 @@
+"""Generator of calls, whose connections stay open until the host is gone."""
+
+import asyncio
+import random
+import time
+from dataclasses import dataclass, field
+
+from aiohttp import ClientError, ClientSession, ClientTimeout, TCPConnector
+
+from crocusshunt.platform import SOURCE_FORMAT
+from crocusshunt.soak._processes import HostProcess
+from crocusshunt.soak._records import Call, CallOutcome, Records
+from crocusshunt.soak._servers import build_response_text
+
+_HEADERS = SOURCE_FORMAT.headers
+_DEADLINE_S = 3
+_STATUS_OK = 200
+# With these a host states that it did not run the request.
+_REFUSAL_STATUSES = frozenset((408, 421, 429, 503))
+_IDEMPOTENT_SHARE = 0.5
+_AFFINITY_KEYS = 30
+
+
+@dataclass(slots=True)
+class LoadGenerator:
+    """Sends calls at random times to random hosts that have been ready.
+
+    The times between calls are exponentially distributed.
+
+    :param records: where calls and their outcomes are recorded.
+    :param keys: API keys that callers use, including withdrawn ones.
+    """
+
+    records: Records
+    hosts: list[HostProcess]
+    keys: tuple[str, ...]
+    rng: random.Random
+    _session: ClientSession | None = None
+    _sent_calls: int = 0
+    _tasks: set[asyncio.Task[None]] = field(default_factory=set)
+
+    async def run(self, calls_per_s: float, seconds: float) -> None:
+        """Send calls for some time, then wait for the last responses.
+
+        :param calls_per_s: mean rate in calls a second.
+        """
+        timeout = ClientTimeout(total=_DEADLINE_S + 1)
+        connector = TCPConnector(limit=0)
+        until = time.monotonic() + seconds
+        async with ClientSession(
+            timeout=timeout,
+            connector=connector,
+        ) as session:
+            self._session = session
+            while time.monotonic() < until:
+                self._start_call()
+                await asyncio.sleep(self.rng.expovariate(calls_per_s))
+            await asyncio.gather(*self._tasks)
+
+    def _start_call(self) -> None:
+        self._sent_calls += 1
+        call = Call(
+            request_id=f'call-{self._sent_calls}',
+            host=self.rng.choice(self.hosts).name,
+            key=self.rng.choice(self.keys),
+            is_idempotent=self.rng.random() < _IDEMPOTENT_SHARE,
+            sent_at=time.monotonic(),
+        )
+        self.records.calls.append(call)
+        task = asyncio.create_task(self._send(call))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
+
+    async def _send(self, call: Call) -> None:
+        assert self._session is not None  # noqa: S101
+        fronts = {host.name: host.document.front for host in self.hosts}
+        path = 'read' if call.is_idempotent else 'write'
+        method = 'GET' if call.is_idempotent else 'POST'
+        body = None if call.is_idempotent else call.request_id.encode()
+        try:
+            async with self._session.request(
+                method,
+                f'http://{fronts[call.host]}/{path}/x',
+                headers=self._build_headers(call),
+                data=body,
+            ) as response:
+                call.status = response.status
+                text = await response.text()
+                signature = response.headers.get(_HEADERS.signature)
+                call.outcome = _classify_response(call, text, signature)
+        except (ClientError, OSError, TimeoutError) as error:
+            call.outcome = _classify_error(call, error)
+        call.ended_at = time.monotonic()
+
+    def _build_headers(self, call: Call) -> dict[str, str]:
+        affinity_key = self.rng.randrange(_AFFINITY_KEYS)
+        return {
+            'Host': 'a.example',
+            'Authorization': f'{_HEADERS.key_scheme}{call.key}',
+            'Cookie': f'{_HEADERS.affinity_cookie}={affinity_key}',
+            _HEADERS.request_id: call.request_id,
+            _HEADERS.deadline_ms: str(_DEADLINE_S * 1000),
+        }
+
+
+def _classify_response(
+    call: Call, text: str, signature: str | None
+) -> CallOutcome:
+    if call.status in _REFUSAL_STATUSES:
+        return CallOutcome.refused
+    if call.status != _STATUS_OK:
+        return CallOutcome.failed
+    if signature != call.request_id:
+        return CallOutcome.mismatched
+    if text == build_response_text(call.request_id):
+        return CallOutcome.answered
+    return CallOutcome.truncated if text else CallOutcome.mismatched
+
+
+def _classify_error(call: Call, error: Exception) -> CallOutcome:
+    if isinstance(error, ConnectionRefusedError) or 'connect' in str(error):
+        return CallOutcome.unreachable
+    return CallOutcome.closed
--- a/crocusshunt/soak/_plan.py
+++ b/crocusshunt/soak/_plan.py
@@ -1,22 +1,25 @@
-"""Which faults come when, drawn from a seed."""
+"""Plan of the faults, drawn at random from a seed."""
 
 import random
 from dataclasses import dataclass
 
-# Faults end this long before the end, so that recovery can be seen.
-_CALM_END_S = 7
-_CALM_START_S = 3
-_SHORTEST_S = 0.3
-_LONGEST_S = 5
+# All faults end this long before the end, so that recovery can be checked.
+_QUIET_END_S = 7
+_QUIET_START_S = 3
+_MIN_DURATION_S = 0.3
+_MAX_DURATION_S = 5
 _MEAN_GAP_S = 1.2
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedFault:
-    """One fault.
+    """One fault to inject.
 
-    :param at: seconds after the start of the calls.
-    :param place: draws the target, in [0, 1).
+    :param kind: name of the fault.
+    :param at: when it begins, in seconds after the start of the calls.
+    :param for_s: how long it lasts, in seconds.
+    :param place: which host or server it hits: a fraction of the list of
+        targets, in [0, 1).
     """
 
     kind: str
@@ -27,11 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakSettings:
-    """One soak.
+    """Settings of one soak test.
 
+    :param seconds: how long calls are sent.
+    :param hosts: number of hosts, each a process.
+    :param servers: number of backend servers in a pool.
     :param kinds: names of the faults to draw from.
-    :param per_s: calls a second.
-    :param workdir: where settings files and logs of the hosts go.
+    :param calls_per_s: mean rate in calls a second.
+    :param workdir: directory for settings files and logs of the hosts.
     """
 
     seed: int
@@ -39,36 +45,38 @@
     hosts: int
     servers: int
     kinds: tuple[str, ...]
-    per_s: float = 40
+    calls_per_s: float = 40
     workdir: str = ''
 
     @property
-    def calm_from_s(self) -> float:
-        """Return the moment from which no fault lasts."""
-        return self.seconds - _CALM_END_S
+    def faults_end_s(self) -> float:
+        """Return when all faults have ended, in seconds after the start."""
+        return self.seconds - _QUIET_END_S
 
 
 def plan_faults(settings: SoakSettings) -> tuple[PlannedFault, ...]:
-    """Draw faults that come in series and overlap.
+    """Draw faults at random; they may overlap.
 
-    >>> calm = SoakSettings(1, 5, 2, 2, ('kill-host',))
-    >>> plan_faults(calm)
+    The times between their beginnings are exponentially distributed.
+
+    >>> quiet = SoakSettings(1, 5, 2, 2, ('kill-host',))
+    >>> plan_faults(quiet)
     ()
     >>> busy = SoakSettings(1, 30, 2, 2, ('kill-host', 'pause-host'))
     >>> plan_faults(busy) == plan_faults(busy)
     True
     """
-    draw = random.Random(settings.seed)
-    found = []
-    at = _CALM_START_S + draw.expovariate(1 / _MEAN_GAP_S)
-    while at < settings.calm_from_s - _SHORTEST_S:
-        longest = min(_LONGEST_S, settings.calm_from_s - at)
+    rng = random.Random(settings.seed)
+    faults = []
+    at = _QUIET_START_S + rng.expovariate(1 / _MEAN_GAP_S)
+    while at < settings.faults_end_s - _MIN_DURATION_S:
+        max_duration_s = min(_MAX_DURATION_S, settings.faults_end_s - at)
         fault = PlannedFault(
-            kind=draw.choice(settings.kinds),
+            kind=rng.choice(settings.kinds),
             at=at,
-            for_s=draw.uniform(_SHORTEST_S, longest),
-            place=draw.random(),
+            for_s=rng.uniform(_MIN_DURATION_S, max_duration_s),
+            place=rng.random(),
         )
-        found.append(fault)
-        at += draw.expovariate(1 / _MEAN_GAP_S)
-    return tuple(found)
+        faults.append(fault)
+        at += rng.expovariate(1 / _MEAN_GAP_S)
+    return tuple(faults)
--- a/crocusshunt/soak/_processes.py
+++ b/crocusshunt/soak/_processes.py
@@ -1,4 +1,4 @@
-"""Hosts as processes of their own, started and ended by their ids."""
+"""Hosts as separate processes, which are signalled by their process ids."""
 
 import asyncio
 import os
@@ -11,7 +11,7 @@
 
 from crocusshunt.standin import HostDocument, encode_settings
 
-# Requests, readiness, look-ups, two between hosts, one to spare.
+# For requests, readiness, look-ups, two internal ports, and one unused.
 PORTS_PER_HOST = 6
 _EXIT_POLL_S = 0.05
 REGIONS = {'a1': 'a', 'a2': 'a', 'b1': 'b'}
@@ -19,7 +19,11 @@
 
 @dataclass(slots=True)
 class HostProcess:
-    """One host of the system, with its settings file and logs."""
+    """One host of the system, with its settings file and logs.
+
+    :param workdir: directory of the settings file and the logs.
+    :param starts: number of starts so far; each has a log file of its own.
+    """
 
     document: HostDocument
     workdir: Path
@@ -34,16 +38,16 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process lives."""
+        """Tell whether the process is running."""
         return self._process is not None and self._process.poll() is None
 
     def write_settings(self) -> None:
-        """Write the settings file of the platform's format."""
+        """Write the settings file in the format of the platform."""
         content = encode_settings(self.document, REGIONS)
         self._settings_path.write_bytes(content)
 
     def start(self) -> None:
-        """Start the process."""
+        """Write the settings and start the process with a new log file."""
         self.write_settings()
         self.starts += 1
         log = (self.workdir / f'{self.name}.{self.starts}.log').open('wb')
@@ -55,13 +59,13 @@
             stderr=subprocess.STDOUT,
         )
 
-    def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it lives."""
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.is_running:
             self._process.send_signal(number)
 
     async def wait(self, seconds: float) -> int | None:
-        """Return the exit status, None if it still runs after a time."""
+        """Wait for the exit and return its status, None after a timeout."""
         try:
             async with asyncio.timeout(seconds):
                 while self.is_running:
@@ -71,9 +75,9 @@
         return None if self._process is None else self._process.returncode
 
     def close(self) -> None:
-        """End the process and its logs."""
-        self.signal(signal.SIGCONT)
-        self.signal(signal.SIGKILL)
+        """Kill the process and close its logs."""
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
         if self._process is not None:
             self._process.wait()
         for log in self._logs:
--- a/crocusshunt/soak/_proxy.py
+++ b/crocusshunt/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on the loopback address that harms what passes it."""
+"""TCP proxy on the loopback address that can disturb its connections."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,8 +14,13 @@
 Writer = asyncio.StreamWriter
 
 
-class Harm(Enum):
-    """What a proxy does to the bytes that pass."""
+class LinkFault(Enum):
+    """How a proxy disturbs the connections that it forwards.
+
+    With ``delay`` it forwards all bytes late, with ``reset`` it resets all
+    connections. With ``silence`` it drops the bytes of both directions, with
+    ``lose_answers`` only those from the target.
+    """
 
     none = 'none'
     delay = 'delay'
@@ -26,16 +31,18 @@
 
 @dataclass(slots=True)
 class Proxy:
-    """Passes connections on to another port.
+    """Forwards connections to another address.
 
-    :param target: ``ip:port`` that it stands before.
+    :param target: ``ip:port`` that connections are forwarded to.
+    :param address: ``ip:port`` that the proxy listens on, empty until it
+        is started.
     """
 
     target: str
-    harm: Harm = Harm.none
+    link_fault: LinkFault = LinkFault.none
     address: str = ''
     _server: asyncio.Server | None = None
-    _open: set[Writer] = field(default_factory=set)
+    _open_writers: set[Writer] = field(default_factory=set)
 
     async def start(self) -> None:
         """Listen on a free port."""
@@ -55,44 +62,50 @@
 
     def reset_all(self) -> None:
         """Reset every open connection."""
-        for writer in tuple(self._open):
+        for writer in tuple(self._open_writers):
             writer.transport.abort()
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
-        if self.harm is Harm.reset:
+        if self.link_fault is LinkFault.reset:
             writer.transport.abort()
             return
         host, _separator, port = self.target.rpartition(':')
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, port)
+            target_reader, target_writer = await asyncio.open_connection(
+                host, port
+            )
         except OSError:
             writer.transport.abort()
             return
-        pair = {writer, far_writer}
-        self._open |= pair
+        writers = {writer, target_writer}
+        self._open_writers |= writers
         try:
             await asyncio.gather(
-                self._pass(reader, far_writer, self._harm_request),
-                self._pass(far_reader, writer, self._harm_answer),
+                self._forward(reader, target_writer, self._disturb_request),
+                self._forward(target_reader, writer, self._disturb_response),
             )
         finally:
-            self._drop(pair)
+            self._drop(writers)
 
-    def _drop(self, pair: set[Writer]) -> None:
-        self._open -= pair
-        for writer in pair:
+    def _drop(self, writers: set[Writer]) -> None:
+        self._open_writers -= writers
+        for writer in writers:
             writer.transport.abort()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: Reader,
         writer: Writer,
-        harm: Callable[[Writer], Awaitable[bool]],
+        admits: Callable[[Writer], Awaitable[bool]],
     ) -> None:
-        """Pass one direction on until its end."""
+        """Forward one direction until the end of its stream.
+
+        :param admits: disturbs the connection as wanted, and tells whether
+            the bytes just read are forwarded.
+        """
         try:
             while content := await reader.read(_CHUNK_BYTES):
-                if await harm(writer):
+                if await admits(writer):
                     writer.write(content)
                     await writer.drain()
             if writer.can_write_eof():
@@ -100,16 +113,16 @@
         except OSError:
             writer.transport.abort()
 
-    async def _harm_request(self, writer: Writer) -> bool:
-        """Tell whether bytes towards the target go on."""
-        if self.harm is Harm.reset:
+    async def _disturb_request(self, writer: Writer) -> bool:
+        """Disturb bytes to the target; tell whether they are forwarded."""
+        if self.link_fault is LinkFault.reset:
             writer.transport.abort()
-        if self.harm is Harm.delay:
+        if self.link_fault is LinkFault.delay:
             await asyncio.sleep(_DELAY_S)
-        return self.harm is not Harm.silence
+        return self.link_fault is not LinkFault.silence
 
-    async def _harm_answer(self, writer: Writer) -> bool:
-        """Tell whether bytes from the target go on."""
-        if self.harm is Harm.lose_answers:
+    async def _disturb_response(self, writer: Writer) -> bool:
+        """Disturb bytes from the target; tell whether they are forwarded."""
+        if self.link_fault is LinkFault.lose_answers:
             return False
-        return await self._harm_request(writer)
+        return await self._disturb_request(writer)
--- a/crocusshunt/soak/_records.py
+++ b/crocusshunt/soak/_records.py
@@ -1,18 +1,29 @@
-"""What callers and backend servers see, as the checks read it."""
+"""Records of calls, runs, changes and faults, which the checks read."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
-# A host that was undisturbed for so long keeps all bounds.
-TOUCH_S = 4
+# A host must keep all time limits once it was free of faults for so long.
+SETTLING_S = 4
 
 
-class Ending(str, Enum):
-    """How a call ended for its caller."""
+class CallOutcome(str, Enum):
+    """How a call ended for its caller.
+
+    * ``answered``: the whole response to this call arrived.
+    * ``mismatched``: the response is that of another request, or empty;
+      written as ``foreign``.
+    * ``truncated``: a part of the response, or a wrong one, arrived; written
+      as ``short``.
+    * ``refused``: the host stated that it did not run the request.
+    * ``failed``: any other status than 200 and those of a refusal.
+    * ``closed``: the connection broke, or no response came in time.
+    * ``unreachable``: no connection could be opened.
+    """
 
     answered = 'answered'
-    foreign = 'foreign'
-    short = 'short'
+    mismatched = 'foreign'
+    truncated = 'short'
     refused = 'refused'
     failed = 'failed'
     closed = 'closed'
@@ -21,11 +32,11 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request of a caller; times are monotonic seconds.
+    """One request of a caller; times are monotonic, in seconds.
 
-    :param key: the caller's key.
     :param host: name of the host that it was sent to.
-    :param status: of the answer, 0 without one.
+    :param key: API key of the caller.
+    :param status: HTTP status of the response, 0 without one.
     """
 
     request_id: str
@@ -34,16 +45,17 @@
     is_idempotent: bool
     sent_at: float
     ended_at: float = 0
-    ending: Ending = Ending.closed
+    outcome: CallOutcome = CallOutcome.closed
     status: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One request that a backend server began to work on.
+    """The processing of one request, begun by a backend server.
 
-    :param customer: as the host told the server.
-    :param shows_key: whether a header held the caller's key.
+    :param at: monotonic time of its start, in seconds.
+    :param customer: name of the customer that the host sent along.
+    :param exposes_key: whether the request's headers held an API key.
     """
 
     request_id: str
@@ -51,11 +63,11 @@
     pool: str
     at: float
     customer: str
-    shows_key: bool
+    exposes_key: bool
 
 
 class ChangeKind(str, Enum):
-    """What the store acknowledged."""
+    """Kind of a change that the store acknowledged."""
 
     withdrawn_key = 'withdrawn-key'
     draining_server = 'draining-server'
@@ -64,9 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change and the moment of its acknowledgement.
+    """A change that the store acknowledged.
 
-    :param subject: the key, the server, or the pool that gets no more.
+    :param subject: the key, server or pool that must get no more requests.
+    :param at: monotonic time of the acknowledgement, in seconds.
     """
 
     kind: ChangeKind
@@ -75,12 +88,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Disturbance:
-    """A fault, as the checks must know it.
-
-    :param host: the disturbed host, empty for all.
-    :param is_planned: whether it was a graceful stop, which excuses nothing
-        but its end.
+class FaultInterval:
+    """A span of time in which a fault may affect hosts.
+
+    :param host: the affected host, empty for all.
+    :param start_at: monotonic time of its start, in seconds.
+    :param end_at: monotonic time of its end, in seconds.
+    :param is_planned: whether it is a graceful stop, in which the host must
+        still not cut any call.
     """
 
     kind: str
@@ -92,19 +107,22 @@
 
 @dataclass(slots=True)
 class Records:
-    """Everything seen in one soak."""
+    """Everything recorded in one soak test.
+
+    :param customers_by_key: name of the customer that holds each API key.
+    """
 
     calls: list[Call] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
     changes: list[Change] = field(default_factory=list)
-    disturbances: list[Disturbance] = field(default_factory=list)
-    keys: dict[str, str] = field(default_factory=dict)
+    fault_intervals: list[FaultInterval] = field(default_factory=list)
+    customers_by_key: dict[str, str] = field(default_factory=dict)
 
-    def is_calm(self, host: str, start_at: float, end_at: float) -> bool:
-        """Tell whether no fault touched a host, or all, in a span."""
+    def is_fault_free(self, host: str, start_at: float, end_at: float) -> bool:
+        """Tell whether no fault affected a host in a span of time."""
         return not any(
-            one.host in {'', host}
-            and one.start_at <= end_at
-            and one.end_at >= start_at
-            for one in self.disturbances
+            fault.host in {'', host}
+            and fault.start_at <= end_at
+            and fault.end_at >= start_at
+            for fault in self.fault_intervals
         )
--- a/crocusshunt/soak/_run.py
+++ b/crocusshunt/soak/_run.py
@@ -1,4 +1,4 @@
-"""One soak from its seed to its violations."""
+"""One soak test, from its seed to the violations found."""
 
 import asyncio
 import logging
@@ -7,19 +7,23 @@
 from dataclasses import dataclass
 
 from crocusshunt.logs import log_event
-from crocusshunt.soak._callers import Callers
-from crocusshunt.soak._checks import Terms, Violation, find_violations
+from crocusshunt.soak._checks import CheckLimits, Violation, find_violations
 from crocusshunt.soak._faults import inject_fault
+from crocusshunt.soak._load import LoadGenerator
 from crocusshunt.soak._plan import PlannedFault, SoakSettings, plan_faults
-from crocusshunt.soak._world import LIMITED, LIMITED_RATE, World
+from crocusshunt.soak._system import LIMITED_CUSTOMER, LIMITED_RATE, SoakSystem
 
-# After the last fault, until calls must be served again.
+# Time after the last fault from which calls must be answered again.
 _RECOVERY_S = 4
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What a soak found."""
+    """Result of a soak test, printed as a JSON line.
+
+    :param calls: number of calls.
+    :param answered: number of calls that got their whole response.
+    """
 
     seed: int
     calls: int
@@ -29,47 +33,49 @@
 
 
 async def run_soak(settings: SoakSettings) -> SoakResult:
-    """Run the hosts under the faults of a seed, and check the promises."""
+    """Run hosts under the faults of a seed, and check the guarantees."""
     faults = plan_faults(settings)
-    world = World(settings, random.Random(settings.seed))
+    system = SoakSystem(settings, random.Random(settings.seed))
     try:
-        await world.start()
+        await system.start()
         started_at = time.monotonic()
-        await _play(world, faults)
+        await _run_load_and_faults(system, faults)
     finally:
-        await world.stop()
-    terms = Terms(
-        limited=LIMITED,
+        await system.stop()
+    limits = CheckLimits(
+        limited_customer=LIMITED_CUSTOMER,
         rate=LIMITED_RATE,
         burst=LIMITED_RATE,
-        recovered_from=started_at + settings.calm_from_s + _RECOVERY_S,
+        recovery_from=started_at + settings.faults_end_s + _RECOVERY_S,
     )
-    records = world.records
-    answered = sum(call.ending.value == 'answered' for call in records.calls)
+    records = system.records
+    answered = sum(call.outcome.value == 'answered' for call in records.calls)
     return SoakResult(
         settings.seed,
         len(records.calls),
         answered,
         faults,
-        tuple(find_violations(records, terms)),
+        tuple(find_violations(records, limits)),
     )
 
 
-async def _play(world: World, faults: tuple[PlannedFault, ...]) -> None:
-    settings = world.settings
-    callers = Callers(
-        world.records,
-        world.hosts,
-        tuple(world.keys),
+async def _run_load_and_faults(
+    system: SoakSystem, faults: tuple[PlannedFault, ...]
+) -> None:
+    settings = system.settings
+    load = LoadGenerator(
+        system.records,
+        system.hosts,
+        tuple(system.keys),
         random.Random(settings.seed),
     )
     async with asyncio.TaskGroup() as tasks:
         for planned in faults:
-            tasks.create_task(_inject(world, planned))
-        tasks.create_task(callers.run(settings.per_s, settings.seconds))
+            tasks.create_task(_inject_when_due(system, planned))
+        tasks.create_task(load.run(settings.calls_per_s, settings.seconds))
 
 
-async def _inject(world: World, planned: PlannedFault) -> None:
+async def _inject_when_due(system: SoakSystem, planned: PlannedFault) -> None:
     await asyncio.sleep(planned.at)
     log_event(
         'fault injected',
@@ -78,4 +84,4 @@
         for_s=round(planned.for_s, 2),
         place=round(planned.place, 3),
     )
-    await inject_fault(world, planned)
+    await inject_fault(system, planned)
--- a/crocusshunt/soak/_servers.py
+++ b/crocusshunt/soak/_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers of a soak, each behind a proxy."""
+"""Backend servers of a soak test, each behind a proxy."""
 
 import asyncio
 import random
@@ -14,31 +14,33 @@
 from crocusshunt.soak._records import Run
 from crocusshunt.standin import LOOPBACK
 
-_NAMES = SOURCE_FORMAT.headers
+_HEADERS = SOURCE_FORMAT.headers
 _SLOTS = 4
-_QUEUE = 4
-_MEAN_WORK_S = 0.03
+_QUEUE_LENGTH = 4
+_MEAN_PROCESSING_S = 0.03
 _STATUS_MISDIRECTED = 421
 _STATUS_FULL = 503
-_WORDS = 40
+_DIGEST_REPEATS = 40
 
 
-def write_answer(request_id: str) -> str:
-    """Return the only right answer to a request.
+def build_response_text(request_id: str) -> str:
+    """Return the text of the only right response to a request.
 
-    >>> write_answer('1') == write_answer('2')
+    >>> build_response_text('1') == build_response_text('2')
     False
     """
-    word = blake2b(request_id.encode(), digest_size=8).hexdigest()
-    return ' '.join((request_id, word * _WORDS))
+    digest = blake2b(request_id.encode(), digest_size=8).hexdigest()
+    return ' '.join((request_id, digest * _DIGEST_REPEATS))
 
 
 @dataclass(slots=True)
 class SoakServer:
-    """One backend server; each start is a new one by name.
+    """One backend server; its name is never used for another one.
 
-    :param runs: what all servers of the soak began to work on.
-    :param keys: secrets that no server may see.
+    It processes a few requests at once, queues a few more, and refuses others.
+
+    :param runs: records of the runs of all servers.
+    :param keys: API keys, which no server may see.
     """
 
     name: str
@@ -46,21 +48,21 @@
     failure_domain: str
     runs: list[Run]
     keys: frozenset[str]
-    draw: random.Random
+    rng: random.Random
     proxy: Proxy | None = None
-    _running: int = 0
+    _in_progress: int = 0
     _runner: web.ServerRunner | None = None
-    _free: asyncio.Semaphore = field(
+    _free_slots: asyncio.Semaphore = field(
         default_factory=lambda: asyncio.Semaphore(_SLOTS),
     )
 
     @property
     def address(self) -> str:
-        """Return where hosts reach it."""
+        """Return the address that hosts connect to, ``ip:port``."""
         return '' if self.proxy is None else self.proxy.address
 
     async def start(self) -> None:
-        """Listen, and stand a proxy before it."""
+        """Listen on a free port, and start a proxy to it."""
         server = web.Server(self._handle, handler_cancellation=True)
         self._runner = web.ServerRunner(server)
         await self._runner.setup()
@@ -70,7 +72,7 @@
         await self.proxy.start()
 
     async def stop(self) -> None:
-        """Close proxy and port."""
+        """Stop the proxy and the server."""
         if self.proxy is not None:
             await self.proxy.stop()
         if self._runner is not None:
@@ -78,38 +80,38 @@
 
     async def _handle(self, request: Any) -> web.StreamResponse:
         await request.read()
-        request_id = request.headers.get(_NAMES.request_id, '')
-        echoed = {_NAMES.request_id: request_id}
-        if request.headers.get(_NAMES.expected_server) != self.name:
+        request_id = request.headers.get(_HEADERS.request_id, '')
+        echoed = {_HEADERS.request_id: request_id}
+        if request.headers.get(_HEADERS.expected_server) != self.name:
             return web.Response(status=_STATUS_MISDIRECTED, headers=echoed)
-        if self._running >= _SLOTS + _QUEUE:
-            refused = {**echoed, _NAMES.not_run: '1'}
+        if self._in_progress >= _SLOTS + _QUEUE_LENGTH:
+            refused = {**echoed, _HEADERS.not_run: '1'}
             return web.Response(status=_STATUS_FULL, headers=refused)
-        self._running += 1
+        self._in_progress += 1
         try:
-            async with self._free:
-                return await self._work(request, request_id)
+            async with self._free_slots:
+                return await self._process(request, request_id)
         finally:
-            self._running -= 1
+            self._in_progress -= 1
 
-    async def _work(self, request: Any, request_id: str) -> web.Response:
-        shown = str(request.headers)
+    async def _process(self, request: Any, request_id: str) -> web.Response:
+        header_text = str(request.headers)
         self.runs.append(
             Run(
                 request_id=request_id,
                 server=self.name,
                 pool=self.pool,
                 at=time.monotonic(),
-                customer=request.headers.get(_NAMES.customer, ''),
-                shows_key=any(key in shown for key in self.keys),
+                customer=request.headers.get(_HEADERS.customer, ''),
+                exposes_key=any(key in header_text for key in self.keys),
             ),
         )
-        await asyncio.sleep(self.draw.expovariate(1 / _MEAN_WORK_S))
+        await asyncio.sleep(self.rng.expovariate(1 / _MEAN_PROCESSING_S))
         return web.Response(
-            text=write_answer(request_id),
+            text=build_response_text(request_id),
             headers={
-                _NAMES.request_id: request_id,
-                _NAMES.signature: request_id,
-                _NAMES.load: f'{self._running},0,{_SLOTS}',
+                _HEADERS.request_id: request_id,
+                _HEADERS.signature: request_id,
+                _HEADERS.load: f'{self._in_progress},0,{_SLOTS}',
             },
         )
--- a/crocusshunt/soak/_world.py
+++ b/crocusshunt/soak/_system.py
@@ -1,4 +1,4 @@
-"""The whole system of a soak: store, servers, hosts, callers."""
+"""The system under test of a soak test: store, backend servers and hosts."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 from crocusshunt.soak._records import (
     Change,
     ChangeKind,
-    Disturbance,
+    FaultInterval,
     Records,
 )
 from crocusshunt.soak._servers import SoakServer
@@ -34,23 +34,30 @@
     encode_server,
 )
 
-LIMITED = 'bank'
+LIMITED_CUSTOMER = 'bank'
 LIMITED_RATE = 8
-_DOMAINS = ('a1', 'a2', 'b1')
-_READY_WITHIN_S = 60
-_POLL_S = 0.1
+_FAILURE_DOMAINS = ('a1', 'a2', 'b1')
+_READY_TIMEOUT_S = 60
+_READY_POLL_S = 0.1
 _STATUS_OK = 200
 _MILLISECONDS = 1000
-# Hosts know new servers within this, before routes move to them.
-_SPREAD_S = 1.5
+# Time in which hosts learn of new servers, before routes move to them.
+_SERVER_DISCOVERY_S = 1.5
 
 
 @dataclass(slots=True)
-class World:
-    """Everything that a soak starts."""
+class SoakSystem:
+    """Store, backend servers and hosts of a soak test, and their proxies.
+
+    :param store_proxies: proxy between each host and the store, by the name
+        of the host.
+    :param keys: API keys in force; the last one is that of the limited
+        customer.
+    :param pool: pool that the routes lead to.
+    """
 
     settings: SoakSettings
-    draw: random.Random
+    rng: random.Random
     records: Records = field(default_factory=Records)
     store: MemoryFeedStore = field(default_factory=MemoryFeedStore)
     hosts: list[HostProcess] = field(default_factory=list)
@@ -58,25 +65,25 @@
     store_proxies: dict[str, Proxy] = field(default_factory=dict)
     keys: list[str] = field(default_factory=list)
     pool: str = 'pool-0'
-    _moving: asyncio.Lock = field(default_factory=asyncio.Lock)
+    _move_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     _version: int = 0
-    _started: int = 0
+    _started_servers: int = 0
     _store_runner: web.AppRunner | None = None
 
     async def start(self) -> None:
         """Start store, servers and hosts; wait until all hosts are ready."""
         store_address = await self._start_store()
         self.keys = [f'secret-key-{number}' for number in range(6)]
-        self.records.keys = {key: 'court' for key in self.keys[:-1]}
-        self.records.keys[self.keys[-1]] = LIMITED
-        self.configure()
+        self.records.customers_by_key = {key: 'court' for key in self.keys[:-1]}
+        self.records.customers_by_key[self.keys[-1]] = LIMITED_CUSTOMER
+        self.write_configuration()
         await self.add_servers(self.pool)
         for number in range(self.settings.hosts):
             await self._start_host(number, store_address)
-        await await_ready(self.hosts)
+        await wait_until_ready(self.hosts)
 
     async def stop(self) -> None:
-        """End every process that was started, and close all ports."""
+        """End all processes that were started, and close all ports."""
         for host in self.hosts:
             host.close()
         for proxy in self.store_proxies.values():
@@ -86,7 +93,7 @@
         if self._store_runner is not None:
             await self._store_runner.cleanup()
 
-    def configure(self) -> None:
+    def write_configuration(self) -> None:
         """Write the next version of the configuration."""
         self._version += 1
         routes = [
@@ -101,7 +108,7 @@
         customers = [
             CustomerDocument('court', tuple(self.keys[:-1])),
             CustomerDocument(
-                LIMITED,
+                LIMITED_CUSTOMER,
                 tuple(self.keys[-1:]),
                 LIMITED_RATE,
                 LIMITED_RATE,
@@ -111,72 +118,86 @@
         self.store.put(CONFIGURATION_TABLE, CONFIGURATION_KEY, content)
 
     def withdraw_key(self) -> None:
-        """Take a key away, as long as some are left."""
+        """Withdraw a key, as long as more than three are in force."""
         if len(self.keys) > 3:
-            self._note_change(ChangeKind.withdrawn_key, self.keys.pop(0))
-            self.configure()
+            self._record_change(ChangeKind.withdrawn_key, self.keys.pop(0))
+            self.write_configuration()
 
     async def move_routes(self) -> None:
-        """Let all routes go to a new pool with servers of its own."""
-        async with self._moving:
-            old = self.pool
-            pool = f'pool-{self._started}'
+        """Move all routes to a new pool with its own servers."""
+        async with self._move_lock:
+            old_pool = self.pool
+            pool = f'pool-{self._started_servers}'
             await self.add_servers(pool)
-            await asyncio.sleep(_SPREAD_S)
+            await asyncio.sleep(_SERVER_DISCOVERY_S)
             self.pool = pool
-            self.configure()
-            self._note_change(ChangeKind.moved_route, old)
+            self.write_configuration()
+            self._record_change(ChangeKind.moved_route, old_pool)
 
     async def add_servers(self, pool: str) -> None:
         """Start the servers of a pool."""
-        wanted = self._started + self.settings.servers
-        while self._started < wanted:
+        total = self._started_servers + self.settings.servers
+        while self._started_servers < total:
             await self.add_server(pool)
 
     async def add_server(self, pool: str) -> None:
         """Start a backend server and write its entry."""
-        self._started += 1
-        domain = _DOMAINS[self._started % len(_DOMAINS)]
+        self._started_servers += 1
+        failure_domain = _FAILURE_DOMAINS[
+            self._started_servers % len(_FAILURE_DOMAINS)
+        ]
         server = SoakServer(
-            name=f's{self._started}',
+            name=f's{self._started_servers}',
             pool=pool,
-            failure_domain=domain,
+            failure_domain=failure_domain,
             runs=self.records.runs,
             keys=frozenset(self.keys),
-            draw=self.draw,
+            rng=self.rng,
         )
         await server.start()
         self.servers.append(server)
-        self._announce(server, 'ready')
+        self._write_server_entry(server, 'ready')
 
     async def drain_server(self, server: SoakServer, seconds: float) -> None:
-        """Let a server leave gracefully, and add one in its place."""
+        """Drain a server and replace it by a new one.
+
+        :param seconds: the server's entry is removed three seconds after
+            this time.
+        """
         await self.add_server(server.pool)
-        self._announce(server, 'draining')
-        self._note_change(ChangeKind.draining_server, server.name)
+        self._write_server_entry(server, 'draining')
+        self._record_change(ChangeKind.draining_server, server.name)
         await asyncio.sleep(seconds + 3)
         self.store.remove(SERVERS_TABLE, server.name)
 
-    def disturb(
+    def record_fault(
         self,
         kind: str,
         host: str,
-        for_s: float,
+        duration_s: float,
         *,
         is_planned: bool = False,
     ) -> None:
-        """Note a fault that begins now."""
+        """Record a fault that begins now.
+
+        :param host: the affected host, empty for all.
+        """
         now = time.monotonic()
-        self.records.disturbances.append(
-            Disturbance(kind, host, now, now + for_s, is_planned),
+        self.records.fault_intervals.append(
+            FaultInterval(kind, host, now, now + duration_s, is_planned),
         )
 
     def pick_server(self, place: float) -> SoakServer:
-        """Return one of the present pool's servers."""
-        present = [one for one in self.servers if one.pool == self.pool]
-        return present[int(place * len(present))]
+        """Return a server of the pool in use.
+
+        :param place: fraction of the list of servers, in [0, 1).
+        """
+        servers = [
+            server for server in self.servers if server.pool == self.pool
+        ]
+        return servers[int(place * len(servers))]
 
-    def _announce(self, server: SoakServer, state: str) -> None:
+    def _write_server_entry(self, server: SoakServer, state: str) -> None:
         content = encode_server(
             server.address,
             server.pool,
@@ -186,7 +207,7 @@
         )
         self.store.put(SERVERS_TABLE, server.name, content)
 
-    def _note_change(self, kind: ChangeKind, subject: str) -> None:
+    def _record_change(self, kind: ChangeKind, subject: str) -> None:
         change = Change(kind, subject, time.monotonic())
         self.records.changes.append(change)
 
@@ -205,8 +226,8 @@
         self.store_proxies[name] = proxy
         document = HostDocument(
             name=name,
-            failure_domain=_DOMAINS[number % len(_DOMAINS)],
-            first_port=draw_free_ports(PORTS_PER_HOST, self.draw)[0],
+            failure_domain=_FAILURE_DOMAINS[number % len(_FAILURE_DOMAINS)],
+            first_port=draw_free_ports(PORTS_PER_HOST, self.rng)[0],
             store=proxy.address,
         )
         host = HostProcess(document, Path(self.settings.workdir))
@@ -214,12 +235,12 @@
         host.start()
 
 
-async def await_ready(hosts: Iterable[HostProcess]) -> None:
-    """Wait until all hosts take requests."""
-    async with asyncio.timeout(_READY_WITHIN_S), ClientSession() as session:
+async def wait_until_ready(hosts: Iterable[HostProcess]) -> None:
+    """Wait until all hosts report that they take requests."""
+    async with asyncio.timeout(_READY_TIMEOUT_S), ClientSession() as session:
         for host in hosts:
             while not await _is_ready(session, host):
-                await asyncio.sleep(_POLL_S)
+                await asyncio.sleep(_READY_POLL_S)
 
 
 async def _is_ready(session: ClientSession, host: HostProcess) -> bool:
--- a/crocusshunt/soak/tests/test_checks.py
+++ b/crocusshunt/soak/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""Each promise broken once: the checks find it, and nothing else."""
+"""Records in which one guarantee is broken: its check must find that."""
 
 from collections.abc import Callable
 
@@ -6,23 +6,25 @@
 
 from crocusshunt.soak import (
     Call,
+    CallOutcome,
     Change,
     ChangeKind,
-    Disturbance,
-    Ending,
+    CheckLimits,
+    FaultInterval,
     Records,
     Run,
-    Terms,
     find_violations,
 )
 
-_TERMS = Terms(limited='bank', rate=1, burst=1, recovered_from=100)
+_LIMITS = CheckLimits(
+    limited_customer='bank', rate=1, burst=1, recovery_from=100
+)
 _KEYS = {'k1': 'court', 'k2': 'bank'}
 
-Break = Callable[[Records], None]
+Corruption = Callable[[Records], None]
 
 
-def _call(number: int, at: float, **changes: object) -> Call:
+def _make_call(number: int, at: float, **changes: object) -> Call:
     call = Call(
         request_id=f'c{number}',
         host='h1',
@@ -30,69 +32,69 @@
         is_idempotent=False,
         sent_at=at,
         ended_at=at + 0.1,
-        ending=Ending.answered,
+        outcome=CallOutcome.answered,
         status=200,
     )
-    for name, changed in changes.items():
-        setattr(call, name, changed)
+    for name, new in changes.items():
+        setattr(call, name, new)
     return call
 
 
-def _run(number: int, at: float, **changes: object) -> Run:
+def _make_run(number: int, at: float, **changes: object) -> Run:
     fields = {
         'request_id': f'c{number}',
         'server': 's1',
         'pool': 'p1',
         'at': at,
         'customer': 'court',
-        'shows_key': False,
+        'exposes_key': False,
     }
     return Run(**{**fields, **changes})  # type: ignore[arg-type]
 
 
-def _calm() -> Records:
-    """Return what is seen where nothing goes wrong."""
-    records = Records(keys=dict(_KEYS))
+def _make_clean_records() -> Records:
+    """Return records in which every guarantee is kept."""
+    records = Records(customers_by_key=dict(_KEYS))
     for number in range(120):
-        records.calls.append(_call(number, float(number)))
-        records.runs.append(_run(number, number + 0.01))
+        records.calls.append(_make_call(number, float(number)))
+        records.runs.append(_make_run(number, number + 0.01))
     return records
 
 
 def _run_twice(records: Records) -> None:
-    records.runs.append(_run(5, 5.1))
+    records.runs.append(_make_run(5, 5.1))
 
 
 def _refuse_falsely(records: Records) -> None:
-    records.calls[5].ending = Ending.refused
+    records.calls[5].outcome = CallOutcome.refused
 
 
-def _mix_answers(records: Records) -> None:
-    records.calls[5].ending = Ending.foreign
+def _answer_with_another(records: Records) -> None:
+    records.calls[5].outcome = CallOutcome.mismatched
 
 
-def _answer_unasked(records: Records) -> None:
+def _answer_without_run(records: Records) -> None:
     records.runs.pop(5)
 
 
-def _show_key(records: Records) -> None:
-    records.runs[5] = _run(5, 5.01, shows_key=True)
+def _expose_key(records: Records) -> None:
+    records.runs[5] = _make_run(5, 5.01, exposes_key=True)
 
 
-def _mistake_customer(records: Records) -> None:
-    records.runs[5] = _run(5, 5.01, customer='bar-office')
+def _use_wrong_customer(records: Records) -> None:
+    records.runs[5] = _make_run(5, 5.01, customer='bar-office')
 
 
 def _exceed_rate(records: Records) -> None:
     for number in range(200, 240):
-        records.calls.append(_call(number, 10, key='k2'))
-        records.runs.append(_run(number, 10, customer='bank'))
+        records.calls.append(_make_call(number, 10, key='k2'))
+        records.runs.append(_make_run(number, 10, customer='bank'))
 
 
 def _ignore_withdrawal(records: Records) -> None:
-    records.calls.append(_call(200, 20, key='k3'))
-    records.keys['k3'] = 'court'
-    records.runs.append(_run(200, 20.01))
+    records.calls.append(_make_call(200, 20, key='k3'))
+    records.customers_by_key['k3'] = 'court'
+    records.runs.append(_make_run(200, 20.01))
     change = Change(ChangeKind.withdrawn_key, 'k3', 10)
     records.changes.append(change)
 
@@ -100,55 +102,57 @@
 def _ignore_drain(records: Records) -> None:
     change = Change(ChangeKind.draining_server, 's9', 10)
     records.changes.append(change)
-    records.runs[15] = _run(15, 15.01, server='s9')
+    records.runs[15] = _make_run(15, 15.01, server='s9')
 
 
-def _revert(records: Records) -> None:
+def _revert_version(records: Records) -> None:
     records.changes.append(Change(ChangeKind.moved_route, 'p0', 10))
-    records.runs[12] = _run(12, 12.01, pool='p0')
+    records.runs[12] = _make_run(12, 12.01, pool='p0')
 
 
-def _cut_at_stop(records: Records) -> None:
-    stop = Disturbance('stop-host', 'h1', 5, 8, is_planned=True)
-    records.disturbances.append(stop)
-    records.calls[6].ending = Ending.closed
+def _cut_call_at_stop(records: Records) -> None:
+    stop = FaultInterval('stop-host', 'h1', 5, 8, is_planned=True)
+    records.fault_intervals.append(stop)
+    records.calls[6].outcome = CallOutcome.closed
 
 
-def _stay_down(records: Records) -> None:
+def _stay_unreachable(records: Records) -> None:
     for call in records.calls[100:]:
-        call.ending = Ending.unreachable
+        call.outcome = CallOutcome.unreachable
 
 
-def test_nothing_is_found_where_all_is_well() -> None:
-    assert not find_violations(_calm(), _TERMS)
+def test_no_violation_in_clean_records() -> None:
+    assert not find_violations(_make_clean_records(), _LIMITS)
 
 
 @pytest.mark.parametrize(
-    ('break_promise', 'promise'),
+    ('corrupt', 'promise'),
     [
         (_run_twice, 'at-most-once'),
         (_refuse_falsely, 'true-refusal'),
-        (_mix_answers, 'own-whole-answer'),
-        (_answer_unasked, 'own-whole-answer'),
-        (_show_key, 'keys'),
-        (_mistake_customer, 'keys'),
+        (_answer_with_another, 'own-whole-answer'),
+        (_answer_without_run, 'own-whole-answer'),
+        (_expose_key, 'keys'),
+        (_use_wrong_customer, 'keys'),
         (_exceed_rate, 'rate'),
         (_ignore_withdrawal, 'changes-in-force'),
         (_ignore_drain, 'changes-in-force'),
-        (_revert, 'version-never-reverts'),
-        (_cut_at_stop, 'graceful-stop'),
-        (_stay_down, 'recovery'),
+        (_revert_version, 'version-never-reverts'),
+        (_cut_call_at_stop, 'graceful-stop'),
+        (_stay_unreachable, 'recovery'),
     ],
 )
-def test_broken_promise_is_found(break_promise: Break, promise: str) -> None:
-    records = _calm()
-    break_promise(records)
-    found = {one.promise for one in find_violations(records, _TERMS)}
+def test_broken_guarantee_is_found(corrupt: Corruption, promise: str) -> None:
+    records = _make_clean_records()
+    corrupt(records)
+    found = {
+        violation.promise for violation in find_violations(records, _LIMITS)
+    }
     assert promise in found
 
 
-def test_disturbed_host_is_not_held_to_bounds() -> None:
-    records = _calm()
+def test_host_with_fault_is_exempt_from_time_limits() -> None:
+    records = _make_clean_records()
     _ignore_drain(records)
-    records.disturbances.append(Disturbance('pause-host', 'h1', 9, 12))
-    assert not find_violations(records, _TERMS)
+    records.fault_intervals.append(FaultInterval('pause-host', 'h1', 9, 12))
+    assert not find_violations(records, _LIMITS)
--- a/crocusshunt/soak/tests/test_soak.py
+++ b/crocusshunt/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real processes, and the seeds that once failed."""
+"""A short soak test of real processes, and seeds that failed before."""
 
 from dataclasses import replace
 from pathlib import Path
@@ -12,44 +12,44 @@
     run_soak,
 )
 
-# Seeds that broke a promise once, as they were played, with their causes:
-# 4 and 13: moves of the routes overlapped, and the soak itself named one pool
-# twice, so that it took runs at the new pool for runs at the old one.
-_FAILED_ONCE = (4, 13)
+# Seeds that reported a violation before, with the cause:
+# 4 and 13: moves of the routes overlapped, and the soak test itself gave two
+# pools the same name, so it took runs at the new pool for runs at the old one.
+_FAILED_SEEDS = (4, 13)
 
 
-def _describe_soak(seed: int, workdir: Path) -> SoakSettings:
+def _make_settings(seed: int, workdir: Path) -> SoakSettings:
     return SoakSettings(
         seed=seed,
         seconds=18,
         hosts=3,
         servers=4,
         kinds=list_faults(),
-        per_s=25,
+        calls_per_s=25,
         workdir=str(workdir),
     )
 
 
-async def test_promises_hold_under_faults(tmp_path: Path) -> None:
-    ended = await run_soak(_describe_soak(7, tmp_path))
-    assert ended.violations == ()
-    assert ended.answered > ended.calls / 3
+async def test_guarantees_hold_under_faults(tmp_path: Path) -> None:
+    soak_result = await run_soak(_make_settings(7, tmp_path))
+    assert soak_result.violations == ()
+    assert soak_result.answered > soak_result.calls / 3
 
 
-@pytest.mark.parametrize('seed', _FAILED_ONCE)
-async def test_seed_that_failed_once(seed: int, tmp_path: Path) -> None:
+@pytest.mark.parametrize('seed', _FAILED_SEEDS)
+async def test_seed_that_failed_before(seed: int, tmp_path: Path) -> None:
     settings = replace(
-        _describe_soak(seed, tmp_path),
+        _make_settings(seed, tmp_path),
         seconds=25,
         hosts=4,
         servers=5,
-        per_s=40,
+        calls_per_s=40,
     )
-    ended = await run_soak(settings)
-    assert ended.violations == ()
+    soak_result = await run_soak(settings)
+    assert soak_result.violations == ()
 
 
-def test_plan_holds_all_kinds_over_some_seeds() -> None:
+def test_plans_of_some_seeds_hold_all_kinds() -> None:
     found = {
         planned.kind
         for seed in range(20)
