--- a/crocusshunt/standin/_backends.py
+++ b/crocusshunt/standin/_backends.py
@@ -1,4 +1,4 @@
-"""Stand-in of a backend server, with switches for its faults."""
+"""Stand-in for a backend server that injects faults on request."""
 
 import asyncio
 from collections import Counter
@@ -16,14 +16,26 @@
 _REQUEST_ID_HEADER = 'X-Request-Id'
 _IDEMPOTENCY_HEADER = 'Idempotency-Key'
 _MILLISECONDS = 1000
-_NEVER_S = 3600
+_HANG_S = 3600
 _STATUS_UNAVAILABLE = 503
-_PART = b'part of an answer'
-_UNFRAMED = b'HTTP/1.1 200 OK\r\n\r\npart of an answer'
+_PARTIAL_BODY = b'part of an answer'
+_UNFRAMED_RESPONSE = b'HTTP/1.1 200 OK\r\n\r\npart of an answer'
 
 
 class Fault(str, Enum):
-    """What a server does wrong with a request."""
+    """How a server fails to answer a request properly.
+
+    * ``die_before``: it runs the request and resets the connection without a
+      response.
+    * ``die_during``, ``short_body``: it closes the connection after a part
+      of the body.
+    * ``die_after``: it resets the connection after the whole response.
+    * ``hang``: it runs the request and does not answer.
+    * ``overlong_body``: it sends more bytes than ``Content-Length`` says.
+    * ``other_answer``: the response carries the id of another request.
+    * ``unframed``: the response tells neither length nor chunks.
+    * ``shed``: it answers 503 and tells that it did not run the request.
+    """
 
     none = 'none'
     die_before = 'die-before'
@@ -39,12 +51,14 @@
 
 @dataclass(slots=True)
 class BackendSwitches:
-    """Faults of one server; the query parameter ``fault`` sets one more.
+    """Faults of one server, set over HTTP.
 
+    :param fault: what is done with each request that has no query parameter
+        ``fault``; that parameter takes precedence.
     :param poison: a request whose body holds this text crashes the server;
         empty for none.
-    :param delay_s: wait before each answer, in seconds.
-    :param echoes: whether answers carry the id of their request.
+    :param delay_s: delay before each response, in seconds.
+    :param echoes: whether responses carry the id of their request.
     """
 
     fault: Fault = Fault.none
@@ -54,21 +68,23 @@
 
 
 class RunCounter:
-    """Counts, over all backend servers, runs by request id and by key.
+    """Counts the runs of each request id and of each idempotency key.
 
-    The key is the idempotency key.
+    Backend servers may share one counter.
     """
 
     def __init__(self) -> None:
-        """Start without runs."""
+        """Start with all counts at zero."""
         self.runs: Counter[str] = Counter()
         self.keys: Counter[str] = Counter()
 
 
 class ReceivedRequest(msgspec.Struct, frozen=True):
-    """What a backend server received, which is also its answer.
+    """A request as a backend server received it; sent back as the response.
 
-    :param headers: pairs of name and text, in their order.
+    :param headers: pairs of name and value, in the order received.
+    :param customer: value of the header ``X-Customer``.
+    :param runs: number of runs of this request id so far, this one included.
     """
 
     server: str
@@ -82,13 +98,14 @@
 
 
 class BackendService(HttpService):
-    """Answers with what it received, and counts runs.
+    """Answers each request with what it received, and counts runs.
 
-    The query parameter ``sleep_ms`` delays the answer.
+    The query parameter ``sleep_ms`` delays the response by as many
+    milliseconds.
     """
 
     def __init__(self, name: str, host: str, port: int) -> None:
-        """Prepare a server.
+        """Create a server that is not yet started.
 
         :param name: name of the backend server.
         """
@@ -109,7 +126,7 @@
         return application
 
     async def run(self, request: web.Request) -> web.Response:
-        """Run a request and return the answer."""
+        """Count a run of the request and return the normal response."""
         request_id = request.headers.get(_REQUEST_ID_HEADER, '')
         body = await request.read()
         self.counter.runs[request_id] += 1
@@ -135,7 +152,7 @@
         )
 
     def echo(self, request: web.Request) -> dict[str, str]:
-        """Return the headers that tie an answer to its request."""
+        """Return the headers that identify the request in its response."""
         request_id = request.headers.get(_REQUEST_ID_HEADER, '')
         if not self.switches.echoes or not request_id:
             return {}
@@ -170,22 +187,22 @@
         return asked_s + self.switches.delay_s
 
 
-_Faulty = Callable[
+_FaultHandler = Callable[
     [BackendService, web.Request],
     Awaitable[web.StreamResponse],
 ]
-_FAULTS: dict[Fault, _Faulty] = {Fault.none: BackendService.run}
+_FAULTS: dict[Fault, _FaultHandler] = {Fault.none: BackendService.run}
 
 
-def _register(fault: Fault) -> Callable[[_Faulty], _Faulty]:
-    def register(function: _Faulty) -> _Faulty:
+def _register_fault(fault: Fault) -> Callable[[_FaultHandler], _FaultHandler]:
+    def register(function: _FaultHandler) -> _FaultHandler:
         _FAULTS[fault] = function
         return function
 
     return register
 
 
-@_register(Fault.die_before)
+@_register_fault(Fault.die_before)
 async def _die_before(
     service: BackendService,
     request: web.Request,
@@ -195,23 +212,23 @@
     return web.Response()
 
 
-@_register(Fault.die_during)
-@_register(Fault.short_body)
+@_register_fault(Fault.die_during)
+@_register_fault(Fault.short_body)
 async def _die_during(
     service: BackendService,
     request: web.Request,
 ) -> web.StreamResponse:
     await service.run(request)
     response = web.StreamResponse(headers=service.echo(request))
-    response.content_length = len(_PART) * 2
+    response.content_length = len(_PARTIAL_BODY) * 2
     await response.prepare(request)
-    await response.write(_PART)
+    await response.write(_PARTIAL_BODY)
     if request.transport is not None:
         request.transport.close()
     return response
 
 
-@_register(Fault.die_after)
+@_register_fault(Fault.die_after)
 async def _die_after(
     service: BackendService,
     request: web.Request,
@@ -223,17 +240,17 @@
     return response
 
 
-@_register(Fault.hang)
+@_register_fault(Fault.hang)
 async def _hang(
     service: BackendService,
     request: web.Request,
 ) -> web.StreamResponse:
     await service.run(request)
-    await asyncio.sleep(_NEVER_S)
+    await asyncio.sleep(_HANG_S)
     return web.Response()
 
 
-@_register(Fault.overlong_body)
+@_register_fault(Fault.overlong_body)
 async def _answer_overlong(
     service: BackendService,
     request: web.Request,
@@ -242,11 +259,11 @@
     await response.prepare(request)
     await response.write_eof()
     if request.transport is not None:
-        request.transport.write(_PART)
+        request.transport.write(_PARTIAL_BODY)
     return response
 
 
-@_register(Fault.other_answer)
+@_register_fault(Fault.other_answer)
 async def _answer_other(
     service: BackendService,
     request: web.Request,
@@ -256,19 +273,19 @@
     return response
 
 
-@_register(Fault.unframed)
+@_register_fault(Fault.unframed)
 async def _answer_unframed(
     service: BackendService,
     request: web.Request,
 ) -> web.StreamResponse:
     await service.run(request)
     if request.transport is not None:
-        request.transport.write(_UNFRAMED)
+        request.transport.write(_UNFRAMED_RESPONSE)
         request.transport.close()
     return web.Response()
 
 
-@_register(Fault.shed)
+@_register_fault(Fault.shed)
 async def _shed(
     service: BackendService,
     request: web.Request,
@@ -280,7 +297,7 @@
 
 
 def create_backends(servers: Iterable[Server]) -> tuple[BackendService, ...]:
-    """Return a stand-in for each server, on its declared address."""
+    """Return a stand-in for each server, to listen on its address."""
     created = []
     for server in servers:
         host, _separator, port = server.address.rpartition(':')
--- a/crocusshunt/standin/_documents.py
+++ b/crocusshunt/standin/_documents.py
@@ -1,4 +1,4 @@
-"""Documents that operators and backend servers write into the store."""
+"""Documents in the platform's formats, for the store and for hosts."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -15,7 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerDocument:
-    """A customer of a configuration."""
+    """A customer in a configuration document.
+
+    :param keys: its API keys.
+    :param rate: in requests a second.
+    :param burst: number of requests that it may send at once.
+    """
 
     name: str
     keys: tuple[str, ...]
@@ -24,7 +29,9 @@
 
 
 def describe_route(**changes: Any) -> dict[str, Any]:
-    """Return a route of the configuration.
+    """Return the specification of a route, with defaults for tests.
+
+    :param changes: fields that differ from the defaults.
 
     >>> describe_route(prefix='/b/')['prefix']
     '/b/'
@@ -53,7 +60,7 @@
 ) -> bytes:
     """Return the row content of a configuration.
 
-    :param pools: names of the pools that it lists.
+    :param pools: names of the pools that the configuration lists.
     """
     resources = [
         _describe_resource('routes', f'r{number}', spec)
@@ -78,7 +85,7 @@
     state: str = 'ready',
     born: int = 1,
 ) -> bytes:
-    """Return the row content of a backend server's entry.
+    """Return the row content of the entry of a backend server.
 
     :param born: Unix time of its start in milliseconds.
     """
@@ -93,11 +100,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HostDocument:
-    """A host on the loopback address.
+    """Settings of a host on the loopback address.
 
     :param first_port: for requests; readiness, look-ups and traffic between
         hosts take the ports after it.
-    :param store: address of the store.
+    :param store: address of the store, ``ip:port``.
+    :param grace_s: time from SIGTERM until the process is killed, in seconds.
     """
 
     name: str
@@ -108,30 +116,30 @@
 
     @property
     def front(self) -> str:
-        """Return where it takes requests."""
-        return self._find_address(0)
+        """Return the address for requests."""
+        return self._format_address(0)
 
     @property
     def ready(self) -> str:
-        """Return where it answers readiness checks."""
-        return self._find_address(1)
+        """Return the address for readiness checks."""
+        return self._format_address(1)
 
     @property
     def directory(self) -> str:
-        """Return where it answers look-ups."""
-        return self._find_address(2)
+        """Return the address for look-ups."""
+        return self._format_address(2)
 
     @property
     def internal_ports(self) -> tuple[int, int]:
-        """Return the ports between hosts and of metrics."""
+        """Return the ports for traffic between hosts and for metrics."""
         return (self.first_port + 3, self.first_port + 4)
 
-    def _find_address(self, place: int) -> str:
-        return f'{LOOPBACK}:{self.first_port + place}'
+    def _format_address(self, port_offset: int) -> str:
+        return f'{LOOPBACK}:{self.first_port + port_offset}'
 
 
 def encode_settings(host: HostDocument, regions: dict[str, str]) -> bytes:
-    """Return the settings file that the platform writes for a host.
+    """Return the content of the settings file of a host.
 
     :param regions: region of each failure domain.
     """
--- a/crocusshunt/standin/_feeds.py
+++ b/crocusshunt/standin/_feeds.py
@@ -1,4 +1,4 @@
-"""Stand-in of a store with rows and feeds, in memory and over HTTP."""
+"""Stand-in for a store of rows with change feeds, in memory and over HTTP."""
 
 import asyncio
 from base64 import b64decode, b64encode
@@ -23,15 +23,15 @@
 _STATUS_UNAVAILABLE = 503
 _MILLISECONDS = 1000
 _DEFAULT_LIMIT = 500
-_SLOW_S = 30
+_SILENCE_S = 30
 
 
 @dataclass(slots=True)
 class FeedFaults:
-    """Switches of the stand-in.
+    """Faults of the stand-in.
 
-    :param is_down: calls are refused; nothing is done.
-    :param is_silent: calls get no answer.
+    :param is_down: calls are refused and change nothing.
+    :param is_silent: calls get no response in time and change nothing.
     """
 
     is_down: bool = False
@@ -40,7 +40,10 @@
 
 @dataclass(slots=True)
 class MemoryFeedStore:
-    """Rows in tables with one count of versions, and the last changes.
+    """Tables of rows with one version counter, and a history of changes.
+
+    Each write increments the version of the store, which becomes the version
+    of the row.
 
     >>> store = MemoryFeedStore()
     >>> store.put('op', 'config', b'{}')
@@ -53,45 +56,49 @@
     address: str = ''
     _rows: dict[tuple[str, str], Row] = field(default_factory=dict)
     _history: list[tuple[str, Row]] = field(default_factory=list)
-    _forgotten: int = 0
+    _dropped_until: int = 0
     _changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def put(self, table: str, key: str, content: bytes) -> None:
-        """Write a row."""
+        """Create or replace a row."""
         self.version += 1
         row = Row(key, content, self.version)
         self._rows[table, key] = row
-        self._note(table, row)
+        self._record_change(table, row)
 
     def remove(self, table: str, key: str) -> None:
         """Remove a row."""
         self.version += 1
         self._rows.pop((table, key), None)
-        self._note(table, Row(key, b'', self.version, is_removed=True))
+        self._record_change(table, Row(key, b'', self.version, is_removed=True))
 
     def find_last_version(self, table: str) -> int:
         """Return the version of the newest change of a table."""
         versions = (
-            row.version for found, row in self._history if found == table
+            row.version
+            for row_table, row in self._history
+            if row_table == table
         )
         return max(versions, default=0)
 
     def forget_history(self) -> None:
-        """Drop all changes; feeds must read their tables anew."""
-        self._forgotten = self.version
+        """Drop the history; followers must read their whole tables again."""
+        self._dropped_until = self.version
         self._history = []
 
     def redirect(self, address: str) -> None:
-        """Note the address that is used from now on."""
+        """Set the address of the store that is used from now on."""
         self.address = address
 
     async def read_table(self, table: str) -> Result[Changes, FeedError]:
-        """Return all rows of a table."""
-        failure = await self._fail()
+        """Return all rows of a table, ordered by key."""
+        failure = await self._apply_faults()
         if failure is not None:
             return Err(failure)
         rows = (
-            row for (found, _key), row in self._rows.items() if found == table
+            row
+            for (row_table, _key), row in self._rows.items()
+            if row_table == table
         )
         ordered = sorted(rows, key=lambda row: row.key)
         return Ok(Changes(tuple(ordered), self.version))
@@ -102,21 +109,25 @@
         after: int,
         wait_s: float,
     ) -> Result[Changes, FeedError]:
-        """Return what changed after a version, at the latest after a wait."""
-        failure = await self._fail()
+        """Return the changes after a version; wait for one if there is none.
+
+        :param after: version after which changes are wanted.
+        :param wait_s: longest wait, in seconds.
+        """
+        failure = await self._apply_faults()
         if failure is not None:
             return Err(failure)
-        if after < self._forgotten:
+        if after < self._dropped_until:
             return Err(HistoryLostError('forgotten'))
-        rows = self._select(table, after)
+        rows = self._select_changes(table, after)
         if not rows and wait_s > 0:
-            await self._wait(wait_s)
-            rows = self._select(table, after)
+            await self._wait_for_change(wait_s)
+            rows = self._select_changes(table, after)
         return Ok(Changes(rows, self.version))
 
     async def write(self, write: RowWrite) -> Result[None, FeedError]:
-        """Write or remove one row, whatever it held."""
-        failure = await self._fail()
+        """Write or remove one row unconditionally."""
+        failure = await self._apply_faults()
         if failure is not None:
             return Err(failure)
         if write.content is None:
@@ -125,27 +136,27 @@
             self.put(write.table, write.key, write.content)
         return Ok(None)
 
-    async def _fail(self) -> FeedError | None:
+    async def _apply_faults(self) -> FeedError | None:
         if self.faults.is_silent:
-            await asyncio.sleep(_SLOW_S)
+            await asyncio.sleep(_SILENCE_S)
             return FeedUnreachableError('silent')
         return FeedRefusedError('down') if self.faults.is_down else None
 
-    async def _wait(self, wait_s: float) -> None:
+    async def _wait_for_change(self, wait_s: float) -> None:
         try:
             async with asyncio.timeout(wait_s):
                 await self._changed.wait()
         except TimeoutError:
             return
 
-    def _select(self, table: str, after: int) -> tuple[Row, ...]:
+    def _select_changes(self, table: str, after: int) -> tuple[Row, ...]:
         return tuple(
             row
-            for found, row in self._history
-            if found == table and row.version > after
+            for row_table, row in self._history
+            if row_table == table and row.version > after
         )
 
-    def _note(self, table: str, row: Row) -> None:
+    def _record_change(self, table: str, row: Row) -> None:
         self._history.append((table, row))
         self._changed.set()
         self._changed = asyncio.Event()
@@ -163,14 +174,14 @@
 
 
 class FeedStoreApplication:
-    """Speaks the store's protocol over HTTP for a memory store."""
+    """Serves a store in memory over the HTTP protocol of the row store."""
 
     def __init__(self, store: MemoryFeedStore) -> None:
-        """Serve a store."""
+        """Create an application for a store."""
         self._store = store
 
     def create(self) -> web.Application:
-        """Return the application."""
+        """Return the aiohttp application."""
         application = web.Application()
         application.router.add_get('/rows-get', self._get)
         application.router.add_get('/rows-feed', self._feed)
@@ -216,8 +227,10 @@
 
 
 def _refuse(error: FeedError) -> web.Response:
-    is_gone = isinstance(error, HistoryLostError)
-    return web.Response(status=_STATUS_GONE if is_gone else _STATUS_UNAVAILABLE)
+    is_history_lost = isinstance(error, HistoryLostError)
+    return web.Response(
+        status=_STATUS_GONE if is_history_lost else _STATUS_UNAVAILABLE
+    )
 
 
 def _respond(changes: Changes, *, has_more: bool) -> web.Response:
--- a/crocusshunt/standin/_memory.py
+++ b/crocusshunt/standin/_memory.py
@@ -1,4 +1,4 @@
-"""The platform's services in memory, with switches for its faults."""
+"""Stand-in for the services of the platform, in memory."""
 
 import asyncio
 from dataclasses import dataclass
@@ -21,12 +21,12 @@
 class PlatformSwitches:
     """Faults of the platform.
 
-    :param is_down: no call is taken.
-    :param delay_s: wait before each call, in seconds.
-    :param lost_answers: number of transactions whose answer will be lost
-        after they took effect.
-    :param lost_table: only transactions on this table lose their answers;
-        empty for any.
+    :param is_down: calls are refused and change nothing.
+    :param delay_s: delay before each call, in seconds.
+    :param lost_answers: number of coming transactions that take effect but
+        whose response is lost.
+    :param lost_table: only transactions that write to this table lose their
+        response; empty for any table.
     """
 
     is_down: bool = False
@@ -36,7 +36,9 @@
 
 
 class MemoryPlatform:
-    """Tables, objects and the list of hosts.
+    """Tables, objects and the list of hosts, in memory.
+
+    Each write to a row increments the version of the row.
 
     >>> import asyncio
     >>> platform = MemoryPlatform()
@@ -48,7 +50,7 @@
     """
 
     def __init__(self) -> None:
-        """Start empty and without faults."""
+        """Create an empty platform without faults."""
         self.switches = PlatformSwitches()
         self.hosts: tuple[HostEntry, ...] = ()
         self.calls = 0
@@ -61,7 +63,7 @@
         key: str,
     ) -> Result[StoredRow | None, StoreError]:
         """Return a row, None where it is absent."""
-        failure = await self._meet_faults()
+        failure = await self._apply_faults()
         if failure is not None:
             return Err(failure)
         return Ok(self._rows.get(table, {}).get(key))
@@ -71,7 +73,7 @@
         query: Query,
     ) -> Result[tuple[StoredRow, ...], StoreError]:
         """Return the rows of a range, in the order of their keys."""
-        failure = await self._meet_faults()
+        failure = await self._apply_faults()
         if failure is not None:
             return Err(failure)
         rows = self._rows.get(query.table, {})
@@ -82,15 +84,15 @@
         self,
         writes: tuple[Write, ...],
     ) -> Result[None, StoreError]:
-        """Do all writes, or none if one condition does not hold."""
-        failure = await self._meet_faults()
+        """Apply all writes, or none if one version is not the expected one."""
+        failure = await self._apply_faults()
         if failure is not None:
             return Err(failure)
         conflict = self._find_conflict(writes)
         if conflict is not None:
             return Err(conflict)
         for write in writes:
-            self._write(write)
+            self._apply_write(write)
         if self._is_answer_lost(writes):
             self.switches.lost_answers -= 1
             return Err(StoreUnknownOutcomeError('answer lost'))
@@ -98,7 +100,7 @@
 
     async def get_object(self, name: str) -> Result[bytes | None, StoreError]:
         """Return an object, None where it is absent."""
-        failure = await self._meet_faults()
+        failure = await self._apply_faults()
         if failure is not None:
             return Err(failure)
         return Ok(self._objects.get(name))
@@ -109,7 +111,7 @@
         body: bytes,
     ) -> Result[None, StoreError]:
         """Create or replace an object."""
-        failure = await self._meet_faults()
+        failure = await self._apply_faults()
         if failure is not None:
             return Err(failure)
         self._objects[name] = body
@@ -117,12 +119,12 @@
 
     async def list_hosts(self) -> Result[tuple[HostEntry, ...], StoreError]:
         """Return the list of hosts."""
-        failure = await self._meet_faults()
+        failure = await self._apply_faults()
         if failure is not None:
             return Err(failure)
         return Ok(self.hosts)
 
-    async def _meet_faults(self) -> StoreError | None:
+    async def _apply_faults(self) -> StoreError | None:
         self.calls += 1
         if self.switches.delay_s:
             await asyncio.sleep(self.switches.delay_s)
@@ -131,9 +133,9 @@
         return None
 
     def _is_answer_lost(self, writes: tuple[Write, ...]) -> bool:
-        wanted = self.switches.lost_table
+        lost_table = self.switches.lost_table
         tables = {write.table for write in writes}
-        return self.switches.lost_answers > 0 and wanted in {'', *tables}
+        return self.switches.lost_answers > 0 and lost_table in {'', *tables}
 
     def _find_conflict(
         self,
@@ -146,7 +148,7 @@
                 return StoreConflictError(write.table, write.key, version)
         return None
 
-    def _write(self, write: Write) -> None:
+    def _apply_write(self, write: Write) -> None:
         rows = self._rows.setdefault(write.table, {})
         if write.body is None:
             rows.pop(write.key, None)
--- a/crocusshunt/standin/_platform.py
+++ b/crocusshunt/standin/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in over HTTP."""
+"""Stand-in for the platform over HTTP."""
 
 from typing import Any
 
@@ -25,15 +25,19 @@
 
 
 class PlatformService(HttpService):
-    """Serves a platform in memory, and switches for its faults."""
+    """Serves a platform in memory over HTTP.
+
+    ``PUT /standin/hosts`` sets its list of hosts, ``PUT /standin/switches``
+    its faults.
+    """
 
     def __init__(self, host: str, port: int) -> None:
-        """Start with an empty platform."""
+        """Create a service for an empty platform."""
         super().__init__(host, port)
         self.platform = MemoryPlatform()
 
     def create_application(self) -> web.Application:
-        """Return the platform's application."""
+        """Return the aiohttp application."""
         application = web.Application(client_max_size=_MAX_BODY_BYTES)
         routes = application.router
         routes.add_get('/v1/row', self._read)
@@ -53,7 +57,7 @@
         )
         if not isinstance(found, Err) and found.ok_value is None:
             return web.Response(status=_STATUS_NOT_FOUND)
-        return _answer(request, found)
+        return _respond(request, found)
 
     async def _query(self, request: web.Request) -> web.Response:
         query = Query(
@@ -61,19 +65,19 @@
             request.query['after'],
             int(request.query['limit']),
         )
-        return _answer(request, await self.platform.query(query))
+        return _respond(request, await self.platform.query(query))
 
     async def _transact(self, request: web.Request) -> web.Response:
         writes = msgspec.json.decode(
             await request.read(),
             type=tuple[Write, ...],
         )
-        return _answer(request, await self.platform.transact(writes))
+        return _respond(request, await self.platform.transact(writes))
 
     async def _get_object(self, request: web.Request) -> web.Response:
         found = await self.platform.get_object(request.match_info['name'])
         if isinstance(found, Err):
-            return _answer(request, found)
+            return _respond(request, found)
         if found.ok_value is None:
             return web.Response(status=_STATUS_NOT_FOUND)
         return web.Response(body=found.ok_value)
@@ -81,10 +85,10 @@
     async def _put_object(self, request: web.Request) -> web.Response:
         name = request.match_info['name']
         body = await request.read()
-        return _answer(request, await self.platform.put_object(name, body))
+        return _respond(request, await self.platform.put_object(name, body))
 
     async def _list_hosts(self, request: web.Request) -> web.Response:
-        return _answer(request, await self.platform.list_hosts())
+        return _respond(request, await self.platform.list_hosts())
 
     async def _set_hosts(self, request: web.Request) -> web.Response:
         self.platform.hosts = msgspec.json.decode(
@@ -101,7 +105,7 @@
         return json_response(self.platform.switches)
 
 
-def _answer(
+def _respond(
     request: web.Request,
     outcome: Result[Any, StoreError],
 ) -> web.Response:
--- a/crocusshunt/standin/_settings.py
+++ b/crocusshunt/standin/_settings.py
@@ -9,8 +9,10 @@
 class StandinSection:
     """Addresses of the stand-ins.
 
-    :param declarations: directory that declares the backend servers; empty
-        to serve the platform alone.
+    :param address: address that the platform listens on.
+    :param port: port that the platform listens on.
+    :param declarations: directory of the tables that declare the backend
+        servers; empty to serve the platform alone.
     """
 
     address: HostAddress
@@ -20,6 +22,6 @@
 
 @dataclass(frozen=True, slots=True)
 class StandinSettings:
-    """Sections of the stand-ins' settings file."""
+    """Sections of the settings file of the stand-ins."""
 
     standin: StandinSection
