--- a/crocusshunt/store/__init__.py
+++ b/crocusshunt/store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's table service, object store and list of hosts."""
+"""Interfaces of the platform's table service, object store and host list."""
 
 from crocusshunt.store._errors import (
     StoreConflictError,
--- a/crocusshunt/store/_errors.py
+++ b/crocusshunt/store/_errors.py
@@ -1,4 +1,4 @@
-"""Failures of the platform."""
+"""Errors of calls to the platform."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(unsafe_hash=True)
 class StoreError(CrocusError):
-    """A call to the platform that gave no usable answer."""
+    """A call to the platform failed; base class of its errors."""
 
     code = 'store'
 
 
 @dataclass(unsafe_hash=True)
 class StoreUnavailableError(StoreError):
-    """The platform did not take the call; no write took effect.
+    """The platform refused or never got the call; no write took effect.
 
-    :param detail: what was seen.
+    :param detail: what was observed, such as the HTTP status.
     """
 
     code = 'store-unavailable'
@@ -26,9 +26,9 @@
 
 @dataclass(unsafe_hash=True)
 class StoreUnknownOutcomeError(StoreError):
-    """No answer came to a call that may have taken effect.
+    """No response came to a call; a write may have taken effect.
 
-    :param detail: what was seen.
+    :param detail: what was observed, such as the HTTP status.
     """
 
     code = 'store-unknown-outcome'
@@ -38,11 +38,11 @@
 
 @dataclass(unsafe_hash=True)
 class StoreConflictError(StoreError):
-    """A condition of a transaction did not hold; no write took effect.
+    """A row did not have the expected version; no write took effect.
 
-    :param table: table of the row whose version differs.
+    :param table: table of the row.
     :param key: key of the row.
-    :param version: version found, 0 where the row is absent.
+    :param version: the version found, 0 if the row is absent.
     """
 
     code = 'store-conflict'
@@ -54,9 +54,9 @@
 
 @dataclass(unsafe_hash=True)
 class StoreDamagedAnswerError(StoreError):
-    """An answer that cannot be decoded; a write may have taken effect.
+    """The response cannot be decoded; a write may have taken effect.
 
-    :param detail: what was seen.
+    :param detail: what was observed, such as the HTTP status.
     """
 
     code = 'store-damaged-answer'
--- a/crocusshunt/store/_values.py
+++ b/crocusshunt/store/_values.py
@@ -1,4 +1,4 @@
-"""Values and interfaces of the platform."""
+"""Interfaces of the platform and the values that they exchange."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,6 +8,7 @@
 
 from crocusshunt.store._errors import StoreError
 
+# Version of a row that does not exist.
 ABSENT = 0
 
 
@@ -16,7 +17,7 @@
     """A row of the table service.
 
     :param version: number of writes to the row so far.
-    :param body: text that the row holds.
+    :param body: content of the row.
     """
 
     table: str
@@ -29,9 +30,9 @@
 class Write:
     """One conditional write of a transaction.
 
-    :param body: new text, None to delete the row.
-    :param expected: version that the row must have, :data:`ABSENT` for
-        none, None for any.
+    :param body: new content, None to delete the row.
+    :param expected: version that the row must have: :data:`ABSENT` if it
+        must not exist, None if any will do.
     """
 
     table: str
@@ -42,9 +43,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Query:
-    """A range of a table's keys, in order.
+    """A range of a table's rows, in the order of their keys.
 
-    :param after: the range starts after this key.
+    :param after: the range starts after this key, which is excluded.
     :param limit: greatest number of rows returned.
     """
 
@@ -54,7 +55,7 @@
 
 
 class HostState(str, Enum):
-    """What the platform says of a host."""
+    """State of a host according to the platform."""
 
     live = 'live'
     leaving = 'leaving'
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class HostEntry:
-    """A host of the platform's lagging list.
+    """A host in the platform's list, which may lag behind reality.
 
     :param gateway: base URL of its gateway.
     :param controller: address of its controller, ``tcp://ip:port``.
@@ -96,7 +97,7 @@
         self,
         writes: tuple[Write, ...],
     ) -> Result[None, StoreError]:
-        """Do all writes, or none if one condition does not hold."""
+        """Apply all writes, or none if one version is not the expected one."""
 
 
 class ObjectStore(Protocol):
@@ -114,7 +115,7 @@
 
 
 class Platform(TableStore, ObjectStore, Protocol):
-    """Everything that the platform gives."""
+    """All services of the platform."""
 
     async def list_hosts(self) -> Result[tuple[HostEntry, ...], StoreError]:
-        """Return the lagging list of hosts."""
+        """Return the list of hosts, which may lag behind reality."""
