--- a/crocusshunt/storeclient/__init__.py
+++ b/crocusshunt/storeclient/__init__.py
@@ -1,12 +1,16 @@
-"""HTTP client of the table service behind the project's own interface."""
+"""HTTP client of the platform, with retries and a circuit breaker."""
 
 from crocusshunt.storeclient._client import HttpPlatform, PlatformSettings
-from crocusshunt.storeclient._policy import CallPolicy, CircuitState, Tally
+from crocusshunt.storeclient._call_policy import (
+    CallPolicy,
+    CallRates,
+    CircuitState,
+)
 
 __all__ = (
     'CallPolicy',
+    'CallRates',
     'CircuitState',
     'HttpPlatform',
     'PlatformSettings',
-    'Tally',
 )
--- a/crocusshunt/storeclient/_client.py
+++ b/crocusshunt/storeclient/_client.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from crocusshunt.core import Clock, SystemClock
-from crocusshunt.storeclient._policy import CallPolicy
+from crocusshunt.storeclient._call_policy import CallPolicy
 from crocusshunt.settings import BaseUrl, Duration
 from crocusshunt.store._errors import (
     StoreConflictError,
@@ -34,10 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformSettings:
-    """How to reach the platform.
+    """Settings of the connection to the platform.
 
     :param url: base URL of the platform.
-    :param timeout_s: longest wait for one answer with its retries, in
+    :param timeout_s: longest time for one call with its retries, in
         seconds.
     """
 
@@ -63,20 +63,21 @@
 class HttpPlatform:
     """Client of the platform's HTTP interface; owns its connections.
 
-    Reads are retried within their deadline and a budget. A write is sent
-    once: whoever sent it resolves a lost answer by its change id.
+    Reads are retried within the timeout and a retry budget. A write is sent
+    only once: if its response is lost, the caller has to find out by the
+    change id whether it took effect.
     """
 
     def __init__(
         self,
         settings: PlatformSettings,
         clock: Clock | None = None,
-        source: random.Random | None = None,
+        rng: random.Random | None = None,
     ) -> None:
-        """Prepare the client; connections open on first use."""
+        """Create a client; connections open on first use."""
         self._settings = settings
         self._clock = clock or SystemClock()
-        self.policy = CallPolicy(self._clock, source or random.Random())
+        self.policy = CallPolicy(self._clock, rng or random.Random())
         self._session: aiohttp.ClientSession | None = None
 
     async def close(self) -> None:
@@ -111,14 +112,14 @@
         call = _Call(_METHOD_READ, '/v1/rows', query=parameters)
         answer = await self._call(call)
         return answer.and_then(
-            lambda got: _decode(got, tuple[StoredRow, ...]),
+            lambda answer: _decode(answer, tuple[StoredRow, ...]),
         )
 
     async def transact(
         self,
         writes: tuple[Write, ...],
     ) -> Result[None, StoreError]:
-        """Do all writes, or none if one condition does not hold."""
+        """Apply all writes, or none if one version is not the expected one."""
         call = _Call(
             'POST',
             '/v1/transactions',
@@ -136,7 +137,9 @@
         )
         answer = await self._call(call)
         return answer.map(
-            lambda got: None if got.status == _STATUS_NOT_FOUND else got.body,
+            lambda answer: (
+                None if answer.status == _STATUS_NOT_FOUND else answer.body
+            ),
         )
 
     async def put_object(
@@ -146,13 +149,13 @@
     ) -> Result[None, StoreError]:
         """Create or replace an object."""
         answer = await self._call(_Call('PUT', f'/v1/objects/{name}', body))
-        return answer.map(_ignore)
+        return answer.map(_discard)
 
     async def list_hosts(self) -> Result[tuple[HostEntry, ...], StoreError]:
-        """Return the lagging list of hosts."""
+        """Return the list of hosts, which may lag behind reality."""
         answer = await self._call(_Call(_METHOD_READ, '/v1/hosts'))
         return answer.and_then(
-            lambda got: _decode(got, tuple[HostEntry, ...]),
+            lambda answer: _decode(answer, tuple[HostEntry, ...]),
         )
 
     async def _call(self, call: _Call) -> Result[_Answer, StoreError]:
@@ -163,45 +166,45 @@
         finally:
             self.policy.release()
         if isinstance(answer, Err):
-            self.policy.note_failure()
+            self.policy.record_failure()
         else:
-            self.policy.note_success()
+            self.policy.record_success()
         return answer
 
     async def _call_until_deadline(
         self,
         call: _Call,
     ) -> Result[_Answer, StoreError]:
-        give_up_at = self._clock.monotonic() + self._settings.timeout_s
+        deadline = self._clock.monotonic() + self._settings.timeout_s
         attempt = 1
         while True:
-            answer = await self._try(call, give_up_at)
+            answer = await self._attempt(call, deadline)
             if isinstance(answer, Ok) or call.method != _METHOD_READ:
                 return answer
-            pause = self.policy.plan_retry(attempt)
-            if pause is None or self._clock.monotonic() + pause >= give_up_at:
+            pause_s = self.policy.plan_retry(attempt)
+            if pause_s is None or self._clock.monotonic() + pause_s >= deadline:
                 return answer
-            await asyncio.sleep(pause)
+            await asyncio.sleep(pause_s)
             attempt += 1
 
-    async def _try(
+    async def _attempt(
         self,
         call: _Call,
-        give_up_at: float,
+        deadline: float,
     ) -> Result[_Answer, StoreError]:
         try:
-            answer = await self._send(call, give_up_at)
+            answer = await self._send(call, deadline)
         except aiohttp.ClientConnectorError as error:
             return Err(StoreUnavailableError(type(error).__name__))
         except (aiohttp.ClientError, TimeoutError, OSError) as failure:
             return Err(StoreUnknownOutcomeError(type(failure).__name__))
-        refused = _check_status(call, answer.status)
-        return Ok(answer) if refused is None else Err(refused)
+        status_error = _check_status(call, answer.status)
+        return Ok(answer) if status_error is None else Err(status_error)
 
-    async def _send(self, call: _Call, give_up_at: float) -> _Answer:
+    async def _send(self, call: _Call, deadline: float) -> _Answer:
         if self._session is None:
             self._session = aiohttp.ClientSession()
-        remaining = max(0, give_up_at - self._clock.monotonic())
+        remaining = max(0, deadline - self._clock.monotonic())
         async with (
             asyncio.timeout(remaining),
             self._session.request(
@@ -220,8 +223,8 @@
         return None
     detail = f'status {status}'
     is_write = call.method != _METHOD_READ
-    is_taken = status not in {_STATUS_TOO_MANY, _STATUS_UNAVAILABLE}
-    if is_write and is_taken and status >= _STATUS_SERVER_ERROR:
+    is_processed = status not in {_STATUS_TOO_MANY, _STATUS_UNAVAILABLE}
+    if is_write and is_processed and status >= _STATUS_SERVER_ERROR:
         return StoreUnknownOutcomeError(detail)
     return StoreUnavailableError(detail)
 
@@ -239,10 +242,11 @@
 def _decode_row(answer: _Answer) -> Result[StoredRow | None, StoreError]:
     if answer.status == _STATUS_NOT_FOUND:
         return Ok(None)
-    return _decode(answer, StoredRow).map(_widen)
+    return _decode(answer, StoredRow).map(_widen_type)
 
 
-def _widen(row: StoredRow) -> StoredRow | None:
+def _widen_type(row: StoredRow) -> StoredRow | None:
+    """Return the row, typed as optional for the type checker."""
     return row
 
 
@@ -256,5 +260,5 @@
     return Err(StoreConflictError(row.table, row.key, row.version))
 
 
-def _ignore(answer: _Answer) -> None:
-    """Drop an answer that carries nothing but success."""
+def _discard(answer: _Answer) -> None:
+    """Discard a response that tells nothing but success."""
--- a/crocusshunt/storeclient/tests/test_client.py
+++ b/crocusshunt/storeclient/tests/test_client.py
@@ -1,4 +1,4 @@
-"""The client against a platform that misbehaves."""
+"""The client against a platform that fails in several ways."""
 
 import random
 from collections.abc import AsyncIterator
@@ -26,7 +26,7 @@
 _WRITES = (Write('t', 'k', 'body'),)
 
 
-class _Misbehaving(HttpService):
+class _FailingPlatform(HttpService):
     status = 200
     body = b'{}'
     failures = 0
@@ -45,23 +45,23 @@
 
 
 @pytest.fixture
-async def server() -> AsyncIterator[_Misbehaving]:
-    started = _Misbehaving('127.0.0.1', 0)
+async def server() -> AsyncIterator[_FailingPlatform]:
+    started = _FailingPlatform('127.0.0.1', 0)
     await started.start()
     yield started
     await started.stop()
 
 
 @pytest.fixture
-async def client(server: _Misbehaving) -> AsyncIterator[HttpPlatform]:
-    opened = HttpPlatform(PlatformSettings(server.url), source=random.Random(1))
+async def client(server: _FailingPlatform) -> AsyncIterator[HttpPlatform]:
+    opened = HttpPlatform(PlatformSettings(server.url), rng=random.Random(1))
     yield opened
     await opened.close()
 
 
 @pytest.mark.parametrize('body', [b'', b'{', b'\xff', b'[1]', b'{"a":1}'])
-async def test_undecodable_bodies_are_typed(
-    server: _Misbehaving,
+async def test_undecodable_body_is_a_damaged_answer(
+    server: _FailingPlatform,
     client: HttpPlatform,
     body: bytes,
 ) -> None:
@@ -88,8 +88,8 @@
         (504, StoreUnknownOutcomeError),
     ],
 )
-async def test_status_of_a_write_is_typed_and_never_retried(
-    server: _Misbehaving,
+async def test_failed_write_has_error_type_and_is_not_retried(
+    server: _FailingPlatform,
     client: HttpPlatform,
     status: int,
     error: type[StoreError],
@@ -101,18 +101,18 @@
 
 
 async def test_reads_are_retried(
-    server: _Misbehaving,
+    server: _FailingPlatform,
     client: HttpPlatform,
 ) -> None:
     server.failures = 2
     server.body = b'[]'
     assert (await client.query(Query('t'))).is_ok()
     assert server.calls == 3
-    assert client.policy.tally().retries * 10 == 2
+    assert client.policy.measure_rates().retries * 10 == 2
 
 
-async def test_open_circuit_spares_the_store(
-    server: _Misbehaving,
+async def test_open_circuit_sends_no_calls(
+    server: _FailingPlatform,
     client: HttpPlatform,
 ) -> None:
     server.failures = 1000
@@ -127,18 +127,18 @@
     clock = ManualClock()
     policy = CallPolicy(clock, random.Random(1))
     for _ in range(5):
-        policy.note_failure()
+        policy.record_failure()
     clock.advance(2)
     assert policy.state is CircuitState.probing
     assert [policy.admit(), policy.admit()] == [True, False]
     policy.release()
     assert policy.admit()
-    policy.note_success()
+    policy.record_success()
     assert policy.admit()
     assert policy.admit()
 
 
-def test_retries_stay_within_their_budget() -> None:
+def test_retries_stay_within_budget() -> None:
     policy = CallPolicy(ManualClock(), random.Random(1))
     retries = 0
     for _ in range(1000):
