--- a/crocusshunt/reports/__init__.py
+++ b/crocusshunt/reports/__init__.py
@@ -1,4 +1,4 @@
-"""Reports from the log lines of ended requests."""
+"""Summaries and explanations from the log lines of ended requests."""
 
 from crocusshunt.reports._explanation import (
     Explanation,
--- a/crocusshunt/reports/_decision_inputs.py
+++ b/crocusshunt/reports/_decision_inputs.py
@@ -1,13 +1,15 @@
-"""What decided a request's course, from its log line."""
+"""What the decisions on a request were based on, from its log line."""
 
 import msgspec
 
 
 class SendingLine(msgspec.Struct, frozen=True):
-    """One sending to a backend server.
+    """One attempt to send the request to a backend server.
 
-    :param sent_s: from the request's arrival, in seconds.
-    :param expected_s: how long the host expected it to take, in seconds.
+    :param sent_s: time of the attempt, in seconds after the request arrived.
+    :param expected_s: duration that the host expected, in seconds.
+    :param verdict: how the attempt ended.
+    :param detail: cause of a failure, empty if there is none.
     """
 
     server: str
@@ -18,7 +20,7 @@
     detail: str = ''
 
     def describe(self) -> str:
-        """Return one line for operators."""
+        """Return one line of text for operators."""
         cause = f' ({self.detail})' if self.detail else ''
         return (
             f'to {self.server} in {self.region} after {self.sent_s:.3f} s, '
@@ -27,9 +29,9 @@
 
 
 class ConsideredLine(msgspec.Struct, frozen=True):
-    """A backend server that had no room.
+    """A backend server that was considered but had no free slot.
 
-    :param load: requests that the host believed to be there.
+    :param load: estimated number of requests at the server.
     :param wait_s: expected wait for a slot, in seconds.
     """
 
@@ -39,7 +41,7 @@
     wait_s: float = 0
 
     def describe(self) -> str:
-        """Return one line for operators."""
+        """Return one line of text for operators."""
         return (
             f'{self.server} had {self.load:.1f} requests for {self.slots} '
             f'slots, a wait of {self.wait_s:.3f} s'
@@ -49,9 +51,12 @@
 class RequestInputs(msgspec.Struct, frozen=True):
     """Inputs of the decisions on one request.
 
-    :param configuration: version that was in force at the host.
-    :param patience_s: how long the caller said that it waits, in seconds.
-    :param retry_after_s: when the caller was told to come back, in seconds.
+    :param configuration: version of the configuration in force at the host.
+    :param patience_s: how long the caller was willing to wait, in seconds.
+    :param retry_after_s: time after which the caller was told to retry, in
+        seconds.
+    :param sendings: the attempts, in order.
+    :param considered: backend servers that had no free slot.
     """
 
     configuration: int = 0
@@ -61,7 +66,7 @@
     considered: tuple[ConsideredLine, ...] = ()
 
     def describe(self) -> tuple[str, ...]:
-        """Return lines for operators."""
+        """Return lines of text for operators."""
         lines = [f'  sent  {one.describe()}' for one in self.sendings]
         lines.extend(f'  full  {one.describe()}' for one in self.considered)
         if self.configuration:
@@ -74,11 +79,11 @@
 
 
 def parse_inputs(line: str) -> RequestInputs:
-    """Return the inputs of a request's log line, none from another line.
+    """Return the inputs in a request's log line, empty for other lines.
 
     >>> parse_inputs('{"configuration":7}').describe()
     ('  by    configuration 7',)
-    >>> parse_inputs('no line of ours').describe()
+    >>> parse_inputs('not a JSON line').describe()
     ()
     """
     try:
--- a/crocusshunt/reports/_explanation.py
+++ b/crocusshunt/reports/_explanation.py
@@ -1,4 +1,4 @@
-"""Why a request went where it went, or was refused."""
+"""Explanation of how a request was steered, and why it was refused."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -7,8 +7,9 @@
 
 from crocusshunt.core import CrocusError
 from crocusshunt.metrics import EndedRequest, OutcomeKind, parse_request
-from crocusshunt.reports._inputs import RequestInputs, parse_inputs
+from crocusshunt.reports._decision_inputs import RequestInputs, parse_inputs
 
+# Reason and next step for operators, by code of the outcome.
 _REASONS: Mapping[str, tuple[str, str]] = {
     'rate-exceeded': (
         'the customer was over its rate and burst',
@@ -34,7 +35,7 @@
     ),
     'configuration-missing': (
         'this host had not read the configuration yet',
-        'check that an interface process runs and reaches the store',
+        'check that crocus-api runs and reaches the store',
     ),
     'no-route': (
         'no route matches host, path, method and customer',
@@ -48,9 +49,12 @@
         'the deadline of the route passed',
         'look for slow backend servers of the pool',
     ),
-    'host-leaving': ('the gateway was stopping', 'nothing; callers move'),
+    'host-leaving': (
+        'the gateway was stopping',
+        'nothing: callers go on to another gateway',
+    ),
     'claim-unavailable': (
-        'the store could not take the claim that keeps it from running twice',
+        'the claim that keeps it from running twice could not be stored',
         'read docs/operators/store-outage.md',
     ),
     'over-rate': (
@@ -82,7 +86,7 @@
         'look for "server passed over" with the same cause on other hosts',
     ),
     'not-run-misdirected': (
-        'the address of the server belongs to another one now',
+        'the address of the server belongs to another server now',
         'look for the entry of the named server after this time',
     ),
     'server-broken': (
@@ -111,8 +115,8 @@
         'give the request id to the owner of the service',
     ),
 }
-_UNLISTED = ('the code says why', 'read docs/operators/alarms.md')
-_RAN: Mapping[OutcomeKind, str] = {
+_REASON_OF_OTHER_CODES = ('the code says why', 'read docs/operators/alarms.md')
+_RUN_STATEMENTS: Mapping[OutcomeKind, str] = {
     OutcomeKind.answered: 'it ran, and the caller got the whole answer',
     OutcomeKind.not_run: 'no backend server ran it',
     OutcomeKind.unknown: 'a backend server may have run it',
@@ -122,7 +126,7 @@
 
 @dataclass(unsafe_hash=True)
 class UnknownRequestError(CrocusError):
-    """No line of the logs tells of the request."""
+    """No line of the logs is about the request."""
 
     code = 'request-unknown'
 
@@ -131,12 +135,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """One request and why it ended as it did.
+    """One request and why it ended as it did, for operators.
 
-    :param ran: what is known about its run.
+    :param ran: whether a backend server ran it, as far as known.
     :param reason: why it was refused or failed, empty if answered.
-    :param next_step: what to do, empty if nothing.
-    :param inputs: what decided its course.
+    :param next_step: what an operator can do, empty if nothing.
+    :param inputs: what the decisions on it were based on.
     """
 
     request: EndedRequest
@@ -146,7 +150,7 @@
     inputs: RequestInputs = RequestInputs()
 
     def describe(self) -> tuple[str, ...]:
-        """Return lines for operators."""
+        """Return lines of text for operators."""
         ended = self.request
         customer = ended.customer or 'no customer'
         lines = [
@@ -181,15 +185,17 @@
             continue
         ended = parse_request(line)
         if ended is not None and ended.request_id == request_id:
-            return Ok(_explain(ended, parse_inputs(line)))
+            return Ok(_build_explanation(ended, parse_inputs(line)))
     return Err(UnknownRequestError(request_id))
 
 
-def _explain(ended: EndedRequest, inputs: RequestInputs) -> Explanation:
+def _build_explanation(
+    ended: EndedRequest, inputs: RequestInputs
+) -> Explanation:
     reason, next_step = '', ''
     if ended.code:
-        reason, next_step = _REASONS.get(ended.code, _UNLISTED)
-    ran = _RAN[ended.outcome]
+        reason, next_step = _REASONS.get(ended.code, _REASON_OF_OTHER_CODES)
+    ran = _RUN_STATEMENTS[ended.outcome]
     return Explanation(ended, ran, reason, next_step, inputs)
 
 
--- a/crocusshunt/reports/_page.py
+++ b/crocusshunt/reports/_page.py
@@ -1,4 +1,4 @@
-"""A run's figures as one HTML page without scripts or other files."""
+"""Summary of a run as a single HTML page without scripts or other files."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from html import escape
@@ -27,7 +27,7 @@
 
 
 def render_page(title: str, summary: Summary) -> str:
-    """Return the page of a run.
+    """Return the HTML page of a run.
 
     >>> from crocusshunt.reports import summarize
     >>> render_page('run', summarize((), {})).startswith('<!doctype html>')
@@ -35,12 +35,12 @@
     """
     parts = (
         f'<h1>{escape(title)}</h1>',
-        f'<p>{_describe(summary)}</p>',
+        f'<p>{_render_overview(summary)}</p>',
         '<h2>Customers: share answered</h2>',
-        draw_bars([_draw_customer(one) for one in summary.customers]),
+        draw_bars([_make_bar(one) for one in summary.customers]),
         _render_table(
             _CUSTOMER_TITLES,
-            [_list_customer(one) for one in summary.customers],
+            [_list_cells(one) for one in summary.customers],
         ),
         _render_latencies('route', summary.routes),
         _render_latencies('region', summary.regions),
@@ -52,25 +52,25 @@
     )
 
 
-def _describe(summary: Summary) -> str:
+def _render_overview(summary: Summary) -> str:
     worst = summary.worst_served
     if worst is None:
         return f'{summary.requests} requests, none of a customer.'
-    known = [one.wrongful for one in summary.customers]
-    wrongful = sum(count for count in known if count is not None)
-    judged = sum(count is not None for count in known)
+    counts = [one.wrongful for one in summary.customers]
+    wrongful = sum(count for count in counts if count is not None)
+    checked = sum(count is not None for count in counts)
     return (
         f'{summary.requests} requests. Worst served: {escape(worst.name)}, '
         f'{worst.answered_share:.2%} answered. Refused although within rate: '
-        f'{wrongful}, judged for {judged} of {len(known)} customers.'
+        f'{wrongful}, checked for {checked} of {len(counts)} customers.'
     )
 
 
-def _draw_customer(one: CustomerSummary) -> ChartBar:
+def _make_bar(one: CustomerSummary) -> ChartBar:
     return ChartBar(one.name, one.answered_share, f'{one.answered_share:.2%}')
 
 
-def _list_customer(one: CustomerSummary) -> Sequence[str]:
+def _list_cells(one: CustomerSummary) -> Sequence[str]:
     return [
         one.name,
         str(one.requests),
--- a/crocusshunt/reports/_plots.py
+++ b/crocusshunt/reports/_plots.py
@@ -17,30 +17,33 @@
 
 @dataclass(frozen=True, slots=True)
 class ChartBar:
-    """One bar of a plot.
+    """One bar of a bar chart.
 
-    :param share: its length, from 0 to 1.
-    :param shown: text behind it.
+    :param label: text to the left of the bar.
+    :param share: length of the bar, from 0 to 1.
+    :param value_text: text to the right of the bar.
     """
 
     label: str
     share: float
-    shown: str
+    value_text: str
 
 
 def draw_bars(bars: Sequence[ChartBar]) -> str:
-    """Return horizontal bars.
+    """Return a chart of horizontal bars as SVG.
 
     >>> draw_bars((ChartBar('court', 0.5, '50%'),)).count('<rect')
     1
     """
     height = _ROW_PX * len(bars)
-    rows = ''.join(_draw_bar(column, row) for row, column in enumerate(bars))
-    return _frame(_LABEL_PX + _WIDTH_PX, height, rows)
+    rows = ''.join(
+        _draw_bar(chart_bar, row) for row, chart_bar in enumerate(bars)
+    )
+    return _render_svg(_LABEL_PX + _WIDTH_PX, height, rows)
 
 
 def draw_quantiles(series: Mapping[str, Latencies]) -> str:
-    """Return one curve of latency over quantile for each label.
+    """Return a plot of latency over quantile, one curve for each label.
 
     >>> draw_quantiles({}).count('<polyline')
     0
@@ -54,21 +57,23 @@
         for order, latencies in enumerate(series.values())
     )
     axis = _draw_text(0, _ROW_PX, f'{top_ms:.0f} ms')
-    return _frame(_WIDTH_PX, _HEIGHT_PX, f'{curves}{axis}') + _list(series)
+    return _render_svg(
+        _WIDTH_PX, _HEIGHT_PX, f'{curves}{axis}'
+    ) + _render_legend(series)
 
 
-def _draw_bar(column: ChartBar, row: int) -> str:
-    top = row * _ROW_PX
-    length = column.share * _WIDTH_PX / 2
+def _draw_bar(chart_bar: ChartBar, row: int) -> str:
+    top_px = row * _ROW_PX
+    length_px = chart_bar.share * _WIDTH_PX / 2
     return ''.join(
         (
-            _draw_text(0, top + _BAR_PX, column.label),
-            f'<rect x="{_LABEL_PX}" y="{top}" width="{length:.1f}" '
+            _draw_text(0, top_px + _BAR_PX, chart_bar.label),
+            f'<rect x="{_LABEL_PX}" y="{top_px}" width="{length_px:.1f}" '
             f'height="{_BAR_PX}" fill="{_SHADES[0]}"/>',
             _draw_text(
-                _LABEL_PX + length + _BAR_PX,
-                top + _BAR_PX,
-                column.shown,
+                _LABEL_PX + length_px + _BAR_PX,
+                top_px + _BAR_PX,
+                chart_bar.value_text,
             ),
         ),
     )
@@ -76,7 +81,8 @@
 
 def _draw_curve(latencies: Latencies, top_ms: float, shade: str) -> str:
     points = ' '.join(
-        _place(step, latencies, top_ms) for step in range(_QUANTILE_STEPS + 1)
+        _format_point(step, latencies, top_ms)
+        for step in range(_QUANTILE_STEPS + 1)
     )
     return (
         f'<polyline points="{points}" fill="none" stroke="{shade}" '
@@ -84,18 +90,18 @@
     )
 
 
-def _place(step: int, latencies: Latencies, top_ms: float) -> str:
+def _format_point(step: int, latencies: Latencies, top_ms: float) -> str:
     quantile = step / _QUANTILE_STEPS
-    across = quantile * _WIDTH_PX
+    x_px = quantile * _WIDTH_PX
     height = latencies.find_quantile(quantile) / (top_ms or 1) * _HEIGHT_PX
-    return f'{across:.1f},{_HEIGHT_PX - height:.1f}'
+    return f'{x_px:.1f},{_HEIGHT_PX - height:.1f}'
 
 
-def _draw_text(across: float, down: float, text: str) -> str:
-    return f'<text x="{across:.1f}" y="{down:.1f}">{escape(text)}</text>'
+def _draw_text(x_px: float, y_px: float, text: str) -> str:
+    return f'<text x="{x_px:.1f}" y="{y_px:.1f}">{escape(text)}</text>'
 
 
-def _list(labels: Iterable[str]) -> str:
+def _render_legend(labels: Iterable[str]) -> str:
     entries = ''.join(
         f'<li style="color:{_SHADES[order % len(_SHADES)]}">'
         f'{escape(label)}</li>'
@@ -104,7 +110,7 @@
     return f'<ul>{entries}</ul>'
 
 
-def _frame(width: int, height: int, content: str) -> str:
+def _render_svg(width: int, height: int, content: str) -> str:
     return (
         f'<svg viewBox="0 0 {width} {height}" width="{width}" '
         f'height="{height}" role="img">{content}</svg>'
--- a/crocusshunt/reports/_summary.py
+++ b/crocusshunt/reports/_summary.py
@@ -1,4 +1,4 @@
-"""Figures of a run, from its ended requests."""
+"""Summary of a run, computed from its ended requests."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -10,21 +10,25 @@
     OutcomeKind,
     parse_request,
 )
-from crocusshunt.reports._bucket import count_wrongful
+from crocusshunt.reports._rate_check import count_refused_within_rate
 from crocusshunt.routing import Customer
 
-_MEDIAN = 0.5
-_TAIL = 0.99
+_MEDIAN_QUANTILE = 0.5
+_TAIL_QUANTILE = 0.99
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerSummary:
-    """How one customer fared.
-
-    :param refused: refusals for reasons that are not the customer's own.
-    :param wrongful: refusals although within rate and burst, None if the
-        customer's rate is not known.
-    :param unknown: requests of unknown outcome.
+    """Summary of the requests of one customer.
+
+    :param requests: number of requests.
+    :param answered: number of requests that were answered.
+    :param refused: number of refusals that the request itself did not cause.
+    :param wrongful: number of refusals within rate and burst, None if the
+        rate of the customer is not known.
+    :param unknown: number of requests of unknown outcome.
+    :param median_ms: median latency of the answered requests.
+    :param tail_ms: 99th percentile of that latency.
     """
 
     name: str
@@ -38,16 +42,17 @@
 
     @property
     def answered_share(self) -> float:
-        """Return the share of requests answered, from 0 to 1."""
+        """Return the share of requests that were answered, from 0 to 1."""
         return self.answered / self.requests
 
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """Figures of a run.
+    """Summary of a run.
 
+    :param requests: number of requests.
     :param routes: latencies of answered requests by route.
-    :param regions: the same by region.
+    :param regions: latencies of answered requests by region.
     """
 
     requests: int
@@ -57,7 +62,7 @@
 
     @property
     def worst_served(self) -> CustomerSummary | None:
-        """Return the customer with the least share answered."""
+        """Return the customer with the lowest share answered."""
         return min(
             self.customers,
             key=lambda customer: (customer.answered_share, customer.name),
@@ -66,7 +71,7 @@
 
 
 def read_requests(lines: Iterable[str]) -> tuple[EndedRequest, ...]:
-    """Return the ended requests of log lines, in the order of arrival."""
+    """Return the requests recorded in log lines, in order of arrival."""
     parsed = (parse_request(line) for line in lines)
     return tuple(
         sorted(
@@ -80,10 +85,10 @@
     requests: Sequence[EndedRequest],
     rates: Mapping[str, Customer],
 ) -> Summary:
-    """Return the figures of a run.
+    """Return the summary of a run.
 
     :param requests: in the order of arrival.
-    :param rates: customers' limits by name.
+    :param rates: customers with their rate and burst, by name.
 
     >>> summarize((), {}).requests
     0
@@ -95,8 +100,8 @@
             _summarize_customer(name, customers[name], rates.get(name))
             for name in sorted(customers)
         ),
-        routes=_measure(requests, lambda ended: ended.route),
-        regions=_measure(requests, lambda ended: ended.region),
+        routes=_group_latencies(requests, lambda ended: ended.route),
+        regions=_group_latencies(requests, lambda ended: ended.region),
     )
 
 
@@ -104,7 +109,7 @@
     requests: Iterable[EndedRequest],
     key: Callable[[EndedRequest], str],
 ) -> Mapping[str, list[EndedRequest]]:
-    """Return requests by a label; those without one are left out."""
+    """Group requests by a label; those without one are left out."""
     groups: defaultdict[str, list[EndedRequest]] = defaultdict(list)
     for ended in requests:
         if key(ended):
@@ -112,15 +117,17 @@
     return groups
 
 
-def _measure(
+def _group_latencies(
     requests: Iterable[EndedRequest],
     key: Callable[[EndedRequest], str],
 ) -> Mapping[str, Latencies]:
     groups = group_requests(requests, key)
-    return {label: _add_up(groups[label]) for label in sorted(groups)}
+    return {
+        label: _collect_latencies(groups[label]) for label in sorted(groups)
+    }
 
 
-def _add_up(requests: Iterable[EndedRequest]) -> Latencies:
+def _collect_latencies(requests: Iterable[EndedRequest]) -> Latencies:
     latencies = Latencies()
     for ended in requests:
         if ended.outcome is OutcomeKind.answered:
@@ -133,15 +140,17 @@
     requests: Sequence[EndedRequest],
     limits: Customer | None,
 ) -> CustomerSummary:
-    latencies = _add_up(requests)
+    latencies = _collect_latencies(requests)
     outcomes = [ended.outcome for ended in requests]
     return CustomerSummary(
         name=name,
         requests=len(requests),
         answered=outcomes.count(OutcomeKind.answered),
         refused=sum(ended.is_refused for ended in requests),
-        wrongful=None if limits is None else count_wrongful(requests, limits),
+        wrongful=None
+        if limits is None
+        else count_refused_within_rate(requests, limits),
         unknown=outcomes.count(OutcomeKind.unknown),
-        median_ms=latencies.find_quantile(_MEDIAN),
-        tail_ms=latencies.find_quantile(_TAIL),
+        median_ms=latencies.find_quantile(_MEDIAN_QUANTILE),
+        tail_ms=latencies.find_quantile(_TAIL_QUANTILE),
     )
--- a/crocusshunt/reports/tests/test_reports.py
+++ b/crocusshunt/reports/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Tests of explanations and pages."""
+"""Tests of explanations, summaries and pages."""
 
 import random
 from dataclasses import replace
@@ -40,14 +40,14 @@
 )
 
 
-def _write(ended: EndedRequest) -> str:
+def _format_line(ended: EndedRequest) -> str:
     fields = msgspec.to_builtins(ended)
     event = {'event': 'request ended', 'arrived': ended.time}
     return msgspec.json.encode({**fields, 'time': 99, **event}).decode()
 
 
 @pytest.mark.parametrize(
-    ('code', 'outcome', 'said'),
+    ('code', 'outcome', 'expected_text'),
     [
         ('rate-exceeded', OutcomeKind.not_run, 'over its rate and burst'),
         ('key-withdrawn', OutcomeKind.not_run, 'no backend server ran it'),
@@ -55,11 +55,13 @@
         ('never-seen', OutcomeKind.unknown, 'alarms.md'),
     ],
 )
-def test_explanation(code: str, outcome: OutcomeKind, said: str) -> None:
+def test_explanation_tells_reason_and_run(
+    code: str, outcome: OutcomeKind, expected_text: str
+) -> None:
     ended = replace(_ANSWERED, code=code, outcome=outcome)
-    lines = ['no json', _write(_REFUSED), _write(ended)]
+    lines = ['no json', _format_line(_REFUSED), _format_line(ended)]
     explanation = explain_request('req-0', lines).unwrap()
-    assert said in '\n'.join(explanation.describe())
+    assert expected_text in '\n'.join(explanation.describe())
     assert 'server verify-01, attempt 1' in explanation.describe()[2]
 
 
@@ -77,16 +79,16 @@
 
 def test_worst_served_customer() -> None:
     other = replace(_ANSWERED, customer='bar')
-    lines = [_write(each) for each in (_ANSWERED, _REFUSED, other)]
+    lines = [_format_line(each) for each in (_ANSWERED, _REFUSED, other)]
     worst = summarize(read_requests(lines), {}).worst_served
     assert worst is not None
     assert (worst.name, worst.answered_share) == ('court', 0.5)
 
 
 def test_page_is_well_formed_and_escapes() -> None:
-    source = random.Random(3)
+    rng = random.Random(3)
     requests = [
-        replace(_ANSWERED, customer='<bar>', duration_ms=source.expovariate(1))
+        replace(_ANSWERED, customer='<bar>', duration_ms=rng.expovariate(1))
         for _ in range(50)
     ]
     page = render_page('run & plots', summarize(requests, {}))
