--- a/crocusshunt/metrics/__init__.py
+++ b/crocusshunt/metrics/__init__.py
@@ -1,7 +1,7 @@
-"""What became of requests, as latencies, counters and Prometheus text."""
+"""Metrics of ended requests, as log records and as Prometheus text."""
 
 from crocusshunt.metrics._exposition import render_metrics
-from crocusshunt.metrics._labels import OTHER, Labels
+from crocusshunt.metrics._labels import OTHER_LABEL, Labels
 from crocusshunt.metrics._records import (
     EndedRequest,
     OutcomeKind,
@@ -12,18 +12,18 @@
 from crocusshunt.metrics._requests import (
     Latencies,
     MetricsSettings,
-    PoolRoom,
+    PoolUsage,
     RequestMetrics,
 )
 
 __all__ = (
-    'OTHER',
+    'OTHER_LABEL',
     'EndedRequest',
     'Labels',
     'Latencies',
     'MetricsSettings',
     'OutcomeKind',
-    'PoolRoom',
+    'PoolUsage',
     'Recorder',
     'RequestMetrics',
     'log_request',
--- a/crocusshunt/metrics/_exposition.py
+++ b/crocusshunt/metrics/_exposition.py
@@ -1,4 +1,7 @@
-"""Prometheus text of the metrics, from a registry of their own."""
+"""Metrics in the Prometheus text format.
+
+They come from a registry of their own, not from the global one.
+"""
 
 from collections.abc import Iterable, Iterator
 
@@ -20,14 +23,14 @@
         self._metrics = metrics
 
     def collect(self) -> Iterable[Metric]:
-        """Yield every family at the moment of the scrape."""
-        yield self._count_outcomes()
-        yield self._count_refusals()
-        yield from self._measure_latencies()
-        yield self._measure_headroom()
-        yield from self._name_worst_served()
-
-    def _count_outcomes(self) -> Metric:
+        """Yield all metric families with their values at a scrape."""
+        yield self._collect_outcomes()
+        yield self._collect_refusals()
+        yield from self._collect_latencies()
+        yield self._collect_headroom()
+        yield from self._collect_worst_served()
+
+    def _collect_outcomes(self) -> Metric:
         family = CounterMetricFamily(
             'crocus_requests',
             'Ended requests.',
@@ -37,7 +40,7 @@
             family.add_metric(labels, count)
         return family
 
-    def _count_refusals(self) -> Metric:
+    def _collect_refusals(self) -> Metric:
         family = CounterMetricFamily(
             'crocus_requests_refused',
             'Requests refused for a reason that is not their own.',
@@ -47,7 +50,7 @@
             family.add_metric(labels, count)
         return family
 
-    def _measure_latencies(self) -> Iterator[Metric]:
+    def _collect_latencies(self) -> Iterator[Metric]:
         quantiles = GaugeMetricFamily(
             'crocus_request_duration_milliseconds',
             'Durations of answered requests since the start, by quantile.',
@@ -71,20 +74,20 @@
         yield quantiles
         yield sums
 
-    def _measure_headroom(self) -> Metric:
+    def _collect_headroom(self) -> Metric:
         family = GaugeMetricFamily(
             'crocus_pool_headroom_ratio',
             'Share of slots that is free.',
             labels=('pool', 'region'),
         )
-        for labels, room in sorted(
-            self._metrics.rooms.items(),
+        for labels, usage in sorted(
+            self._metrics.pool_usages.items(),
             key=lambda entry: entry[0],
         ):
-            family.add_metric(labels, room.headroom)
+            family.add_metric(labels, usage.headroom)
         return family
 
-    def _name_worst_served(self) -> Iterator[Metric]:
+    def _collect_worst_served(self) -> Iterator[Metric]:
         worst = self._metrics.find_worst_served()
         family = GaugeMetricFamily(
             'crocus_worst_served_answered_ratio',
@@ -102,7 +105,7 @@
 ) -> bytes:
     """Return the metrics in the Prometheus text format.
 
-    :param collectors: of other metrics of the process.
+    :param collectors: collectors of other metrics of the process.
 
     >>> from crocusshunt.metrics import MetricsSettings
     >>> text = render_metrics(RequestMetrics(MetricsSettings()))
--- a/crocusshunt/metrics/_labels.py
+++ b/crocusshunt/metrics/_labels.py
@@ -1,10 +1,12 @@
-"""Label values of bounded number."""
+"""Metric labels with a bounded number of values."""
 
-OTHER = 'other'
+OTHER_LABEL = 'other'
 
 
 class Labels:
-    """Keeps the first values as they are and joins the rest.
+    """Keeps the first values as they are and replaces all others by one.
+
+    This bounds the number of time series, each of which costs memory.
 
     >>> labels = Labels(limit=1)
     >>> labels.bound('court'), labels.bound('bar'), labels.bound('court')
@@ -12,9 +14,9 @@
     """
 
     def __init__(self, limit: int) -> None:
-        """Start without values.
+        """Start without any values.
 
-        :param limit: number of values kept as they are.
+        :param limit: number of values that are kept as they are.
         """
         self._limit = limit
         self._kept: set[str] = set()
@@ -24,6 +26,6 @@
         if label in self._kept:
             return label
         if len(self._kept) >= self._limit:
-            return OTHER
+            return OTHER_LABEL
         self._kept.add(label)
         return label
--- a/crocusshunt/metrics/_records.py
+++ b/crocusshunt/metrics/_records.py
@@ -1,4 +1,4 @@
-"""Record of one ended request, and its form in the logs."""
+"""Records of ended requests, written to and parsed from the logs."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -15,7 +15,13 @@
 
 
 class OutcomeKind(str, Enum):
-    """What is known about a request that has ended."""
+    """What is known about the execution of a request that has ended.
+
+    * ``answered``: it ran, and the caller got the whole response.
+    * ``not_run``: no backend server ran it.
+    * ``unknown``: a backend server may have run it.
+    * ``cancelled``: the caller left; a backend server may have run it.
+    """
 
     answered = 'answered'
     not_run = 'not_run'
@@ -25,18 +31,19 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRequest:
-    """One request, from its first byte to its outcome.
+    """Record of one request that has ended.
 
     :param time: when it arrived, in seconds since the Unix epoch.
     :param duration_ms: from arrival to outcome, in milliseconds.
     :param region: region of the gateway.
     :param host: host of the gateway.
-    :param route: empty if no route was found.
-    :param customer: empty on routes open to all, or if refused before.
+    :param route: name of its route, empty if none matches.
+    :param customer: empty on public routes, or if the request was refused
+        before the customer was known.
     :param server: last backend server tried, empty if none was.
     :param attempts: number of backend servers tried.
     :param code: machine-readable reason, empty if answered.
-    :param status: HTTP status for the caller.
+    :param status: HTTP status of the response to the caller.
     """
 
     request_id: str
@@ -55,7 +62,9 @@
 
     @property
     def is_refused(self) -> bool:
-        """Tell whether it was not run for a reason that is not its own.
+        """Tell whether it was not run, through no fault of its own.
+
+        Requests with a status of 4xx are at fault themselves, except 429.
 
         >>> EndedRequest(
         ...     'r1', 0, 1, 'addis', 'h1', OutcomeKind.not_run, 429,
@@ -64,27 +73,27 @@
         """
         if self.outcome is not OutcomeKind.not_run:
             return False
-        is_own_fault = (
+        is_client_error = (
             _STATUS_CLIENT_ERROR <= self.status < _STATUS_SERVER_ERROR
         )
-        return self.status == _STATUS_TOO_MANY or not is_own_fault
+        return self.status == _STATUS_TOO_MANY or not is_client_error
 
 
 class Recorder(Protocol):
-    """Takes each ended request once."""
+    """Interface of whatever records ended requests, each of them once."""
 
     def record(self, ended: EndedRequest) -> None:
-        """Take a request that has ended."""
+        """Record a request that has ended."""
 
 
-class _Line(msgspec.Struct, frozen=True):
+class _EventLine(msgspec.Struct, frozen=True):
     event: str
 
 
 def log_request(ended: EndedRequest, **inputs: Any) -> None:
-    """Write a request to the logs, from which it can be parsed again.
+    """Write a request to the logs; see :func:`parse_request`.
 
-    :param inputs: what decided its course, for whoever reads the line.
+    :param inputs: further fields: what the decisions on it were based on.
     """
     fields = msgspec.to_builtins(ended)
     arrived = fields.pop('time')
@@ -92,13 +101,13 @@
 
 
 def parse_request(line: str) -> EndedRequest | None:
-    """Return the request of a log line, None for any other line.
+    """Return the request that a log line records, None for other lines.
 
     >>> parse_request('{"event":"started"}') is None
     True
     """
     try:
-        if msgspec.json.decode(line, type=_Line).event != _EVENT:
+        if msgspec.json.decode(line, type=_EventLine).event != _EVENT:
             return None
         fields = msgspec.json.decode(line, type=dict[str, Any])
         fields['time'] = fields.get('arrived')
--- a/crocusshunt/metrics/_requests.py
+++ b/crocusshunt/metrics/_requests.py
@@ -1,6 +1,6 @@
-"""Latencies, outcomes and headroom of one process.
+"""Latencies, outcomes and pool headroom, as one process sees them.
 
-Reference: the histograms are those of G. Tene, "HdrHistogram".
+Latencies are kept in HDR histograms (G. Tene, "HdrHistogram").
 """
 
 from collections import Counter
@@ -12,16 +12,16 @@
 from crocusshunt.metrics._labels import Labels
 from crocusshunt.metrics._records import EndedRequest, OutcomeKind
 
-_LEAST_US = 1
-_GREATEST_US = 3_600_000_000
-_DIGITS = 2
+_MIN_US = 1
+_MAX_US = 3_600_000_000
+_SIGNIFICANT_DIGITS = 2
 _US_PER_MS = 1000
 _PERCENT = 100
 
 
 @dataclass(frozen=True, slots=True)
 class MetricsSettings:
-    """Bounds of the number of labels, each of which costs memory."""
+    """Limits of the number of label values, each of which costs memory."""
 
     max_routes: int = 64
     max_customers: int = 64
@@ -29,10 +29,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PoolRoom:
-    """Slots of a pool's backend servers in a region.
+class PoolUsage:
+    """Usage of the slots of a pool's backend servers in a region.
 
-    :param in_flight: requests that run on them.
+    :param slots: number of requests that the servers can run at once.
+    :param in_flight: number of requests that run on them.
     """
 
     pool: str
@@ -42,9 +43,9 @@
 
     @property
     def headroom(self) -> float:
-        """Return the share of slots that is free, from 0 to 1.
+        """Return the share of slots that are free, from 0 to 1.
 
-        >>> PoolRoom('verify', 'addis', slots=8, in_flight=6).headroom
+        >>> PoolUsage('verify', 'addis', slots=8, in_flight=6).headroom
         0.25
         """
         free = max(0, self.slots - self.in_flight)
@@ -52,11 +53,11 @@
 
 
 class Latencies:
-    """Distribution of durations."""
+    """Distribution of durations, from 1 microsecond to 1 hour."""
 
     def __init__(self) -> None:
-        """Start without durations."""
-        self._histogram = HdrHistogram(_LEAST_US, _GREATEST_US, _DIGITS)
+        """Create an empty distribution."""
+        self._histogram = HdrHistogram(_MIN_US, _MAX_US, _SIGNIFICANT_DIGITS)
         self.sum_ms: float = 0
 
     @property
@@ -65,15 +66,16 @@
         return int(self._histogram.get_total_count())
 
     def add(self, duration_ms: float) -> None:
-        """Count a duration."""
-        duration_us = max(_LEAST_US, int(duration_ms * _US_PER_MS))
-        self._histogram.record_value(min(duration_us, _GREATEST_US))
+        """Add a duration in milliseconds."""
+        duration_us = max(_MIN_US, int(duration_ms * _US_PER_MS))
+        self._histogram.record_value(min(duration_us, _MAX_US))
         self.sum_ms += duration_ms
 
     def find_quantile(self, quantile: float) -> float:
-        """Return the duration below which a share of all lies.
+        """Return a quantile of the durations, in milliseconds.
 
-        :param quantile: the share, from 0 to 1.
+        :param quantile: share of the durations, from 0 to 1, that are not
+            longer.
         """
         percentile = quantile * _PERCENT
         value_us = self._histogram.get_value_at_percentile(percentile)
@@ -81,7 +83,9 @@
 
 
 class RequestMetrics:
-    """Counts ended requests by route, customer and region.
+    """Counts ended requests, and keeps their latencies.
+
+    Both are kept by route, by customer and by region.
 
     >>> metrics = RequestMetrics(MetricsSettings())
     >>> metrics.record(EndedRequest(
@@ -92,7 +96,7 @@
     """
 
     def __init__(self, settings: MetricsSettings) -> None:
-        """Start without requests."""
+        """Start without any requests."""
         self._labels = {
             'route': Labels(settings.max_routes),
             'customer': Labels(settings.max_customers),
@@ -101,33 +105,34 @@
         self.latencies: dict[tuple[str, str], Latencies] = {}
         self.outcomes: Counter[tuple[str, str, str]] = Counter()
         self.refusals: Counter[tuple[str, str]] = Counter()
-        self.rooms: dict[tuple[str, str], PoolRoom] = {}
+        self.pool_usages: dict[tuple[str, str], PoolUsage] = {}
 
     def record(self, ended: EndedRequest) -> None:
-        """Take a request that has ended.
+        """Record a request that has ended.
 
-        Only answered requests have a latency that a caller waited for.
+        Only answered requests have a latency: for others no caller waited
+        until the response.
         """
-        for dimension, label in self._bound(ended):
+        for dimension, label in self._bound_labels(ended):
             self.outcomes[dimension, label, ended.outcome.value] += 1
             if ended.outcome is OutcomeKind.answered:
-                held = self.latencies.setdefault(
+                durations = self.latencies.setdefault(
                     (dimension, label),
                     Latencies(),
                 )
-                held.add(ended.duration_ms)
+                durations.add(ended.duration_ms)
         if ended.is_refused:
             customer = self._labels['customer'].bound(ended.customer)
             self.refusals[customer, ended.code] += 1
 
-    def record_room(self, room: PoolRoom) -> None:
-        """Take the present room of a pool in a region."""
-        self.rooms[room.pool, room.region] = room
+    def record_pool_usage(self, usage: PoolUsage) -> None:
+        """Record the current usage of a pool in a region."""
+        self.pool_usages[usage.pool, usage.region] = usage
 
     def find_worst_served(self) -> tuple[str, float] | None:
-        """Return the customer with the least share answered, and the share."""
+        """Return the customer with the lowest share answered, and the share."""
         shares = sorted(
-            (self._measure_share(customer), customer)
+            (self._compute_answered_share(customer), customer)
             for customer in self._list_customers()
         )
         if not shares:
@@ -135,7 +140,7 @@
         share, customer = shares[0]
         return customer, share
 
-    def _bound(self, ended: EndedRequest) -> Iterator[tuple[str, str]]:
+    def _bound_labels(self, ended: EndedRequest) -> Iterator[tuple[str, str]]:
         values = (
             ('route', ended.route),
             ('customer', ended.customer),
@@ -152,7 +157,7 @@
             if dimension == 'customer'
         }
 
-    def _measure_share(self, customer: str) -> float:
+    def _compute_answered_share(self, customer: str) -> float:
         counts = {
             kind: self.outcomes['customer', customer, kind.value]
             for kind in OutcomeKind
--- a/crocusshunt/metrics/tests/test_metrics.py
+++ b/crocusshunt/metrics/tests/test_metrics.py
@@ -11,7 +11,7 @@
     EndedRequest,
     MetricsSettings,
     OutcomeKind,
-    PoolRoom,
+    PoolUsage,
     RequestMetrics,
     log_request,
     parse_request,
@@ -47,7 +47,7 @@
     }
 
 
-_MEASURES = (
+_EXPECTED_SAMPLES = (
     (('request_duration_milliseconds', 'region', 'addis', '0.9'), 90),
     (('requests_refused_total', 'bar', 'rate-exceeded'), 1),
     (('worst_served_answered_ratio', 'bar'), 0),
@@ -56,19 +56,19 @@
 )
 
 
-def test_prometheus_text_holds_every_measure() -> None:
+def test_prometheus_text_holds_all_metrics() -> None:
     metrics = RequestMetrics(MetricsSettings())
     for duration_ms in range(1, 101):
         metrics.record(replace(_ANSWERED, duration_ms=duration_ms))
     metrics.record(_REFUSED)
-    metrics.record_room(PoolRoom('verify', 'addis', 8, 6))
+    metrics.record_pool_usage(PoolUsage('verify', 'addis', 8, 6))
     samples = _read_samples(metrics)
-    for (name, *labels), measured in _MEASURES:
+    for (name, *labels), expected in _EXPECTED_SAMPLES:
         found = samples[frozenset((f'crocus_{name}', *labels))]
-        assert found == pytest.approx(measured, rel=0.02)
+        assert found == pytest.approx(expected, rel=0.02)
 
 
-def test_labels_are_bounded() -> None:
+def test_number_of_labels_is_bounded() -> None:
     metrics = RequestMetrics(MetricsSettings(max_customers=3))
     for number in range(50):
         metrics.record(replace(_ANSWERED, customer=f'c{number}'))
@@ -90,7 +90,7 @@
         (OutcomeKind.unknown, 502, False),
     ],
 )
-def test_refusals_are_not_the_callers_own_faults(
+def test_errors_of_the_caller_are_no_refusals(
     outcome: OutcomeKind,
     status: int,
     is_refused: bool,
@@ -99,7 +99,7 @@
     assert ended.is_refused is is_refused
 
 
-def test_record_survives_its_log_line(
+def test_record_is_parsed_from_its_log_line(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     start_logging(logging.INFO)
