--- a/crocusshunt/logs/__init__.py
+++ b/crocusshunt/logs/__init__.py
@@ -1,6 +1,6 @@
-"""Structured logs: one JSON object a line, through absl."""
+"""Structured logs: one JSON object per line, written through absl."""
 
-from crocusshunt.logs._journal import LogStream, log_event, start_logging
+from crocusshunt.logs._json_lines import LogStream, log_event, start_logging
 from crocusshunt.logs._sink import LineSink
 
 __all__ = ('LineSink', 'LogStream', 'log_event', 'start_logging')
--- a/crocusshunt/logs/_json_lines.py
+++ b/crocusshunt/logs/_json_lines.py
@@ -1,4 +1,4 @@
-"""JSON lines through the absl handler."""
+"""Log entries as JSON lines, written by the handler of absl."""
 
 import logging as standard_logging
 import sys
@@ -25,13 +25,13 @@
 
 
 class LogStream(Protocol):
-    """Where lines go."""
+    """Text stream that log lines are written to."""
 
     def write(self, text: str, /) -> int:
-        """Take a line."""
+        """Write a line."""
 
     def flush(self) -> None:
-        """Hand over what was taken."""
+        """Write out what is buffered."""
 
 
 def start_logging(
@@ -40,12 +40,13 @@
 ) -> None:
     """Send the logs of this process to a stream as JSON lines.
 
-    :param verbosity: least level shown, of the standard library's logging.
-    :param stream: standard error without one.
+    :param verbosity: lowest level that is written, as a level of the standard
+        library's logging.
+    :param stream: where to write; standard error if None.
     """
     if not flags.FLAGS.is_parsed():
         # Otherwise absl writes a warning, which is no JSON, before the first
-        # entry; the programs' options are docopt's.
+        # entry. The programs parse their options with docopt, not with absl.
         flags.FLAGS.mark_as_parsed()
     handler = logging.get_absl_handler()
     handler.setFormatter(_JsonFormatter())
@@ -59,9 +60,9 @@
     level: int = standard_logging.INFO,
     **fields: object,
 ) -> None:
-    """Write one log entry.
+    """Write a log entry.
 
-    Keys of callers never belong into fields.
+    Fields must never hold API keys of callers.
 
     :param event: what happened, in technical English.
     :param level: a level of the standard library's logging.
--- a/crocusshunt/logs/_sink.py
+++ b/crocusshunt/logs/_sink.py
@@ -1,4 +1,4 @@
-"""Lines written to a file descriptor without ever waiting for its reader."""
+"""Non-blocking writer of lines to a file descriptor, with a rate limit."""
 
 import os
 import stat
@@ -8,16 +8,16 @@
 import msgspec
 
 _LINES_PER_S = 400
-_MAX_SAVED_LINES = 800
+_BURST_LINES = 800
 _DROPPED_EVENT = 'log lines dropped'
 
 
 class LineSink:
-    """A text stream that drops lines instead of blocking.
+    """Text stream that drops lines instead of blocking.
 
-    Lines beyond a rate, and those that the reader does not take, are
-    counted; the next line that gets through is preceded by one that tells
-    how many are missing.
+    A token bucket limits the rate of lines. Lines beyond that rate, and lines
+    that the descriptor does not accept, are dropped and counted; the next
+    line that is written follows one that tells how many were dropped.
     """
 
     def __init__(
@@ -25,20 +25,26 @@
         descriptor: int,
         monotonic: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Write to an open descriptor; a pipe is made non-blocking."""
+        """Create a stream; a pipe is set to non-blocking mode.
+
+        :param descriptor: open file descriptor to write to.
+        :param monotonic: clock, in seconds.
+        """
         self._descriptor = descriptor
         self._monotonic = monotonic
-        self._saved: float = _MAX_SAVED_LINES
-        self._filled_at = monotonic()
-        self._rest = b''
+        self._tokens: float = _BURST_LINES
+        self._refilled_at = monotonic()
+        self._unsent = b''
         self._unreported = 0
         self.dropped = 0
         if stat.S_ISFIFO(os.fstat(descriptor).st_mode):
             os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> int:
-        """Write a line, or count it as dropped."""
-        if self._spend() and self._send(self._prefix() + text.encode()):
+        """Write a line, or drop and count it."""
+        if self._take_token() and self._send(
+            self._format_drop_notice() + text.encode()
+        ):
             self._unreported = 0
         else:
             self.dropped += 1
@@ -46,19 +52,19 @@
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: each line was handed over, or counted."""
+        """Do nothing: lines are not buffered."""
 
-    def _spend(self) -> bool:
+    def _take_token(self) -> bool:
         now = self._monotonic()
-        earned = _LINES_PER_S * (now - self._filled_at)
-        self._saved = min(_MAX_SAVED_LINES, self._saved + earned)
-        self._filled_at = now
-        if self._saved < 1:
+        earned = _LINES_PER_S * (now - self._refilled_at)
+        self._tokens = min(_BURST_LINES, self._tokens + earned)
+        self._refilled_at = now
+        if self._tokens < 1:
             return False
-        self._saved -= 1
+        self._tokens -= 1
         return True
 
-    def _prefix(self) -> bytes:
+    def _format_drop_notice(self) -> bytes:
         if not self._unreported:
             return b''
         notice = {
@@ -70,16 +76,16 @@
         return b'%s\n' % msgspec.json.encode(notice)
 
     def _send(self, content: bytes) -> bool:
-        """Hand bytes over; keep the rest of a line that was begun."""
+        """Write bytes; keep the unwritten rest of a line for the next call."""
         try:
-            if self._rest:
-                written = os.write(self._descriptor, self._rest)
-                self._rest = self._rest[written:]
-            if self._rest:
+            if self._unsent:
+                written = os.write(self._descriptor, self._unsent)
+                self._unsent = self._unsent[written:]
+            if self._unsent:
                 return False
             written = os.write(self._descriptor, content)
         except OSError:
-            # The reader is slow or gone; the line is counted as dropped.
+            # The reader is slow or gone: the caller counts the line as dropped.
             return False
-        self._rest = content[written:]
+        self._unsent = content[written:]
         return True
--- a/crocusshunt/logs/tests/test_sink.py
+++ b/crocusshunt/logs/tests/test_sink.py
@@ -1,4 +1,4 @@
-"""Logs whose reader is slow, and logs under load."""
+"""Log lines whose reader is slow or gone, and more lines than the limit."""
 
 import json
 import os
@@ -28,11 +28,13 @@
     sink.write(_LINE)
     lines = (taken + os.read(reader, 1 << 20)).decode().splitlines()
     events = [json.loads(line) for line in lines]
-    notices = [one for one in events if one['event'] == 'log lines dropped']
-    assert [one['lines'] for one in notices] == [sink.dropped]
+    notices = [
+        event for event in events if event['event'] == 'log lines dropped'
+    ]
+    assert [event['lines'] for event in notices] == [sink.dropped]
 
 
-def test_rate_of_lines_is_bounded(pipe: tuple[int, int]) -> None:
+def test_rate_of_lines_is_limited(pipe: tuple[int, int]) -> None:
     reader, writer = pipe
     clock = ManualClock()
     sink = LineSink(writer, clock.monotonic)
@@ -44,7 +46,7 @@
     assert b'"lines":100' in os.read(reader, 1 << 20)
 
 
-def test_reader_that_is_gone_is_no_error(pipe: tuple[int, int]) -> None:
+def test_closed_reader_is_no_error(pipe: tuple[int, int]) -> None:
     reader, writer = pipe
     os.close(reader)
     sink = LineSink(writer, ManualClock().monotonic)
