--- a/crocusshunt/messages/__init__.py
+++ b/crocusshunt/messages/__init__.py
@@ -42,7 +42,7 @@
     ProbeAnswer,
     RelayProbe,
 )
-from crocusshunt.messages._presence import GatewayHeartbeat, HeartbeatNoted
+from crocusshunt.messages._heartbeats import GatewayHeartbeat, HeartbeatNoted
 from crocusshunt.messages._sockets import (
     Handlers,
     Replier,
--- a/crocusshunt/messages/_bodies.py
+++ b/crocusshunt/messages/_bodies.py
@@ -16,9 +16,9 @@
 
 
 def register_body(kind: str) -> Callable[[_BodyType], _BodyType]:
-    """Return a decorator that makes a structure the body of a kind.
+    """Return a decorator that registers a body class for a message kind.
 
-    :param kind: name of the message's kind on the wire.
+    :param kind: name that identifies the kind in the message envelope.
     """
 
     def register(body_class: _BodyType) -> _BodyType:
@@ -31,10 +31,10 @@
 
 @register_body('refusal')
 class Refusal(Body, frozen=True):
-    """Answer to a message that was not carried out.
+    """Error answer: the request was not carried out.
 
-    :param code: machine-readable name of the failure.
-    :param detail: one line for the log.
+    :param code: machine-readable error code.
+    :param detail: one-line explanation for the log.
     """
 
     code: str
--- a/crocusshunt/messages/_codec.py
+++ b/crocusshunt/messages/_codec.py
@@ -1,4 +1,4 @@
-"""Envelope and codec of messages."""
+"""Envelope, encoding and decoding of messages."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -14,16 +14,16 @@
 
 @dataclass(unsafe_hash=True)
 class MessageError(CrocusError):
-    """A message that was refused before its body was read."""
+    """A message that could not be decoded."""
 
     code = 'message'
 
 
 @dataclass(unsafe_hash=True)
 class DamagedMessageError(MessageError):
-    """Bytes that are no message.
+    """Bytes that are not a valid message.
 
-    :param detail: what the codec saw.
+    :param detail: description of the decoding error.
     """
 
     code = 'message-damaged'
@@ -33,7 +33,7 @@
 
 @dataclass(unsafe_hash=True)
 class UnknownVersionError(MessageError):
-    """A message of a protocol version that this program does not speak."""
+    """A message of a protocol version that this program does not support."""
 
     code = 'message-version'
 
@@ -56,7 +56,9 @@
 
 
 class Codec:
-    """Encodes and decodes messages, and counts those that it refused.
+    """Encodes and decodes messages, and counts undecodable ones.
+
+    ``refused`` maps an error code to the number of messages refused with it.
 
     >>> from crocusshunt.messages import FetchHosts
     >>> codec = Codec()
@@ -69,17 +71,19 @@
     """
 
     def __init__(self) -> None:
-        """Start with no refusals counted."""
+        """Create a codec with all counters at 0."""
         self.refused: Counter[str] = Counter()
 
     def encode(self, body: Body) -> bytes:
-        """Return the bytes of a message."""
-        packed = msgspec.Raw(msgspec.msgpack.encode(body))
+        """Return the message that carries a body."""
+        encoded_body = msgspec.Raw(msgspec.msgpack.encode(body))
         kind = KINDS[type(body)]
-        return msgspec.msgpack.encode(_Envelope(PROTOCOL_VERSION, kind, packed))
+        return msgspec.msgpack.encode(
+            _Envelope(PROTOCOL_VERSION, kind, encoded_body)
+        )
 
     def decode(self, message: bytes) -> Result[Body, MessageError]:
-        """Return the body of a message, or why it is refused."""
+        """Return the body of a message, or why it cannot be decoded."""
         decoded = _decode(message)
         if isinstance(decoded, Err):
             self.refused[decoded.err_value.code] += 1
--- a/crocusshunt/messages/_configuration.py
+++ b/crocusshunt/messages/_configuration.py
@@ -1,4 +1,4 @@
-"""Messages that spread the configuration and the witnesses' testimonies."""
+"""Messages that replicate the configuration and relay testimonies."""
 
 from crocusshunt.configuration import Change, Edit, Evidence
 from crocusshunt.messages._bodies import Body, register_body
@@ -7,10 +7,11 @@
 
 @register_body('fetch-changes')
 class FetchChanges(Body, frozen=True):
-    """Asks for the changes after a revision, waiting for news if none.
+    """Requests the changes after a revision (long poll).
 
-    :param held: revision that the sender holds.
-    :param wait_s: longest wait for a newer revision, in seconds.
+    :param held: newest revision that the sender has.
+    :param wait_s: longest time in seconds that the answering process waits
+        for a newer revision if it has none.
     """
 
     held: int
@@ -19,10 +20,11 @@
 
 @register_body('change-feed')
 class ChangeFeed(Body, frozen=True):
-    """Changes that follow the revision asked about, oldest first.
+    """Returns the changes after the requested revision, oldest first.
 
-    :param evidence: what the store itself vouched for.
-    :param testimonies: the youngest of each witness.
+    :param evidence: how long ago the store was read and confirmed the
+        revision of the answering process as the newest.
+    :param testimonies: the most recent testimony of each witness.
     """
 
     changes: tuple[Change, ...]
@@ -32,9 +34,12 @@
 
 @register_body('snapshot-feed')
 class SnapshotFeed(Body, frozen=True):
-    """A whole configuration, for a follower that is far behind.
+    """Returns a whole configuration to a follower that is far behind.
 
+    :param digest: digest of the last change included.
     :param rows: one edit for each row, with its text in ``after``.
+    :param evidence: as in :class:`ChangeFeed`.
+    :param testimonies: the most recent testimony of each witness.
     """
 
     revision: int
@@ -46,23 +51,27 @@
 
 @register_body('announce-change')
 class AnnounceChange(Body, frozen=True):
-    """Tells a witness of a change before it is sent to the store."""
+    """Announces a change to a witness before it is written to the store."""
 
     announcement: Announcement
 
 
 @register_body('change-noted')
 class ChangeNoted(Body, frozen=True):
-    """The witness will testify to the announced change."""
+    """Acknowledges an announcement.
+
+    The witness lists the change in its testimonies until the outcome of its
+    write is known.
+    """
 
 
 @register_body('fetch-testimony')
 class FetchTestimony(Body, frozen=True):
-    """Asks a witness which changes it knows of."""
+    """Requests a testimony: the changes that a witness knows of."""
 
 
 @register_body('given-testimony')
 class GivenTestimony(Body, frozen=True):
-    """A witness's testimony, of age zero when it was sent."""
+    """Returns a testimony, whose age was 0 s when it was sent."""
 
     testimony: Testimony
--- a/crocusshunt/messages/_errors.py
+++ b/crocusshunt/messages/_errors.py
@@ -1,4 +1,4 @@
-"""Failures of the transport between processes."""
+"""Errors of the message transport between processes."""
 
 from dataclasses import dataclass
 
@@ -7,16 +7,16 @@
 
 @dataclass(unsafe_hash=True)
 class TransportError(CrocusError):
-    """A message that brought no usable answer."""
+    """A request that received no usable answer."""
 
     code = 'transport'
 
 
 @dataclass(unsafe_hash=True)
 class PeerTimeoutError(TransportError):
-    """No answer came in time.
+    """No answer arrived in time, or the connection failed.
 
-    :param address: address asked.
+    :param address: address to which the request was sent.
     """
 
     code = 'peer-timeout'
@@ -26,9 +26,10 @@
 
 @dataclass(unsafe_hash=True)
 class PeerRefusalError(TransportError):
-    """The peer answered that it did not carry the message out.
+    """The peer refused the request or sent an answer of the wrong type.
 
-    :param reason: code of the peer's failure.
+    :param reason: error code of the refusal, code of the decoding error, or
+        the type name of the unexpected answer.
     """
 
     code = 'peer-refusal'
--- a/crocusshunt/messages/_presence.py
+++ b/crocusshunt/messages/_heartbeats.py
@@ -1,11 +1,11 @@
-"""Heartbeats of a host's gateway to its controller."""
+"""Heartbeats that a gateway sends to the controller on its host."""
 
 from crocusshunt.messages._bodies import Body, register_body
 
 
 @register_body('gateway-heartbeat')
 class GatewayHeartbeat(Body, frozen=True):
-    """Says that the gateway of this host runs.
+    """Reports that the gateway of this host is running.
 
     :param is_leaving: True from the start of a planned stop.
     """
@@ -15,4 +15,4 @@
 
 @register_body('heartbeat-noted')
 class HeartbeatNoted(Body, frozen=True):
-    """Answer to a heartbeat."""
+    """Acknowledges a heartbeat."""
--- a/crocusshunt/messages/_loans.py
+++ b/crocusshunt/messages/_loans.py
@@ -1,4 +1,9 @@
-"""Bodies of the messages about loans of tokens and leases."""
+"""Messages about loans of admission tokens and about leases.
+
+Customers are grouped into shards. The controller that holds the lease of a
+shard keeps the token buckets of its customers, and lends tokens only while
+witnesses support the lease.
+"""
 
 import msgspec
 
@@ -8,13 +13,14 @@
 
 @register_body('borrow-tokens')
 class BorrowTokens(Body, frozen=True):
-    """Asks for admission tokens of a customer.
+    """Requests admission tokens of a customer.
 
-    :param loan_id: identifies the loan when the message is repeated.
-    :param wanted: number of tokens wanted.
-    :param settled: the borrower's earlier loans that are over.
+    :param loan_id: the same in every repetition of the request, so that the
+        tokens are lent only once.
+    :param wanted: number of tokens requested.
+    :param settled: earlier loans of the gateway that have ended.
     :param borrower: host of the borrowing gateway, set by its controller.
-    :param hops: controllers that passed the message on.
+    :param hops: number of controllers that forwarded the message.
     """
 
     loan_id: str
@@ -27,15 +33,15 @@
 
 @register_body('token-loan')
 class TokenLoan(Body, frozen=True):
-    """Tokens lent to a gateway.
-
-    :param granted: number of tokens, possibly none.
-    :param lifetime_s: seconds from the sending of the request after which
-        unused tokens are void.
-    :param retry_after_s: seconds until more tokens may be had.
-    :param remaining: whole tokens left at the home.
-    :param rate: tokens a second that the customer gains.
-    :param burst: most tokens that the customer can hold.
+    """Grants tokens to a gateway.
+
+    :param granted: number of tokens, possibly 0.
+    :param lifetime_s: validity of the tokens in seconds, counted from when
+        the request was sent; unused tokens are void after it.
+    :param retry_after_s: seconds until more tokens may be available.
+    :param remaining: whole tokens left in the customer's bucket.
+    :param rate: refill rate of the bucket, in tokens per second.
+    :param burst: capacity of the bucket, in tokens.
     """
 
     loan_id: str
@@ -48,16 +54,20 @@
 
 
 class LeaseEpoch(msgspec.Struct, frozen=True, array_like=True):
-    """A shard's lease at an epoch."""
+    """The lease of a shard in one epoch.
+
+    Each change of the holder or of the witnesses raises the epoch.
+    """
 
     shard: str
     epoch: int
 
 
 class FencedLease(msgspec.Struct, frozen=True, array_like=True):
-    """A shard whose earlier holders get no more support.
+    """A shard whose earlier lease holders the witness no longer supports.
 
-    :param wait_s: seconds until support given before is over.
+    :param wait_s: seconds until the support that the witness gave to an
+        earlier holder has expired.
     """
 
     shard: str
@@ -66,10 +76,11 @@
 
 @register_body('renew-leases')
 class RenewLeases(Body, frozen=True):
-    """Asks a witness to support the sender and to fence others.
+    """Requests support of the sender's leases and fencing of earlier holders.
 
-    :param supports: leases that the sender holds.
-    :param fences: leases that the sender took and may not use yet.
+    :param supports: leases in use, whose support is to be renewed.
+    :param fences: leases that the sender acquired and may not use until the
+        earlier holders are fenced.
     """
 
     supports: tuple[LeaseEpoch, ...] = ()
@@ -78,9 +89,10 @@
 
 @register_body('leases-renewed')
 class LeasesRenewed(Body, frozen=True):
-    """What a witness agreed to.
+    """Reports which requested leases a witness supports or has fenced.
 
-    :param supported: shards whose holder it supports.
+    :param supported: shards for which it supports the sender.
+    :param fenced: shards for which it fenced the earlier holders.
     """
 
     supported: tuple[str, ...] = ()
--- a/crocusshunt/messages/_membership.py
+++ b/crocusshunt/messages/_membership.py
@@ -1,4 +1,4 @@
-"""Messages about the hosts of the system."""
+"""Messages of the membership protocol, which tracks live hosts."""
 
 from enum import IntEnum
 
@@ -9,10 +9,10 @@
 
 
 class MemberStatus(IntEnum):
-    """What is believed of a host, in order of precedence.
+    """State assumed for a host, in ascending order of precedence.
 
-    ``unreachable`` is the verdict of another region, which may itself be the
-    one that is cut off; ``dead`` that of a host in the same region.
+    ``unreachable`` is set by a host of another region, which may itself be
+    the one that is cut off; ``dead`` by a host of the same region.
     """
 
     alive = 0
@@ -22,14 +22,16 @@
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """What is believed of one host.
+    """Membership record of one host.
 
     :param gateway: base URL of its gateway, empty if not known.
     :param controller: address of its controller.
-    :param incarnation: grows with each restart and each refutation; 0 for
-        what only the platform's list says.
-    :param is_leaving: True once the host announced a planned stop; holds
-        for the rest of the incarnation.
+    :param incarnation: raised by the host at each restart and whenever it
+        refutes a wrong status; 0 for a host that is known only from the
+        platform's list.
+    :param is_leaving: True once the host announced a planned stop; stays
+        set for the rest of the incarnation.
+    :param status: state assumed for the host.
     """
 
     name: str
@@ -44,12 +46,12 @@
 
 @register_body('fetch-hosts')
 class FetchHosts(Body, frozen=True):
-    """Asks for the hosts that the sender's controller knows."""
+    """Requests the list of known hosts."""
 
 
 @register_body('host-list')
 class HostList(Body, frozen=True):
-    """Hosts, with the states that the answering process believes.
+    """Returns the hosts that the answering process knows.
 
     :param suspects: names of listed hosts that may have failed.
     """
@@ -60,9 +62,10 @@
 
 @register_body('probe')
 class Probe(Body, frozen=True):
-    """Asks a host whether it is alive, and passes on news.
+    """Checks that a host is alive.
 
-    :param digest: digest of all that the sender believes.
+    :param digest: digest of the sender's whole member table.
+    :param news: recently changed members, piggybacked on the probe.
     """
 
     digest: int
@@ -71,9 +74,11 @@
 
 @register_body('probe-answer')
 class ProbeAnswer(Body, frozen=True):
-    """Says that the sender is alive, and passes on news.
+    """Confirms that the sender is alive.
 
-    :param digest: digest of all that the sender believes.
+    :param digest: digest of the sender's whole member table; if it differs
+        from the prober's, the prober fetches the differing members.
+    :param news: recently changed members, piggybacked on the answer.
     """
 
     digest: int
@@ -82,7 +87,7 @@
 
 @register_body('relay-probe')
 class RelayProbe(Body, frozen=True):
-    """Asks a host to probe another, which the sender does not reach.
+    """Requests an indirect probe of a host that the sender cannot reach.
 
     :param address: controller address of the host to probe.
     """
@@ -92,9 +97,9 @@
 
 @register_body('fetch-members')
 class FetchMembers(Body, frozen=True):
-    """Asks for the members of those parts that differ.
+    """Requests the members of the table partitions that differ.
 
-    :param digests: digest of each part of the sender's table.
+    :param digests: digest of each partition of the sender's member table.
     """
 
     digests: tuple[int, ...]
@@ -102,6 +107,6 @@
 
 @register_body('member-list')
 class MemberList(Body, frozen=True):
-    """Members of the parts that differ."""
+    """Returns all members of the partitions that differ."""
 
     members: tuple[Member, ...]
--- a/crocusshunt/messages/_sockets.py
+++ b/crocusshunt/messages/_sockets.py
@@ -1,4 +1,4 @@
-"""Request and reply sockets over TCP."""
+"""Request and reply sockets over TCP, based on NNG's req/rep protocol."""
 
 import asyncio
 import logging
@@ -18,20 +18,21 @@
     TransportError,
 )
 
-# A request is sent once; what may be repeated is repeated by its sender.
-_NEVER_RESEND_MS = -1
+# Disables NNG's automatic resending: a request is sent once, and only its
+# sender decides whether it may safely be repeated.
+_RESEND_DISABLED_MS = -1
 _MAX_MESSAGE_BYTES = 67_108_864
-_REPLY_CONTEXTS = 64
+_MAX_CONCURRENT_REQUESTS = 64
 
 _BodyType = TypeVar('_BodyType', bound=Body)
 Handler = Callable[[Body], Awaitable[Body]]
 
 
 class Handlers:
-    """Registry of the functions that answer each kind of message."""
+    """Registry of handler functions by the body type that they answer."""
 
     def __init__(self) -> None:
-        """Start without handlers."""
+        """Create an empty registry."""
         self._handlers: dict[type[Body], Handler] = {}
 
     def register(
@@ -43,16 +44,19 @@
     ]:
         """Return a decorator that registers a handler for a body type."""
 
-        def add(
+        def add_handler(
             function: Callable[[_BodyType], Awaitable[Body]],
         ) -> Callable[[_BodyType], Awaitable[Body]]:
             self._handlers[body_class] = cast(Handler, function)
             return function
 
-        return add
+        return add_handler
 
     async def answer(self, body: Body) -> Body:
-        """Return the answer of the handler registered for a body."""
+        """Call the handler registered for the body's type.
+
+        A body without a handler is answered with a refusal.
+        """
         handler = self._handlers.get(type(body))
         if handler is None:
             return Refusal('message-unexpected', type(body).__name__)
@@ -60,12 +64,15 @@
 
 
 class Replier:
-    """Listens on one address and answers messages; owns its socket."""
+    """Server that answers messages on one address; owns its socket.
+
+    It answers up to 64 requests concurrently; further ones wait.
+    """
 
     def __init__(self, address: str, handlers: Handlers) -> None:
-        """Prepare to listen.
+        """Store the address and the handlers without opening a socket.
 
-        :param address: ``tcp://ip:port``.
+        :param address: ``tcp://ip:port``; port 0 picks a free port.
         """
         self.codec = Codec()
         self.address = address
@@ -74,16 +81,19 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Listen, and answer in the background."""
+        """Open the socket and answer requests in background tasks.
+
+        ``address`` then holds the port that was actually bound.
+        """
         self._socket = pynng.Rep0(recv_max_size=_MAX_MESSAGE_BYTES)
         listener = self._socket.listen(self.address)
         self.address = f'tcp://{listener.local_address}'
-        for _ in range(_REPLY_CONTEXTS):
+        for _ in range(_MAX_CONCURRENT_REQUESTS):
             context = self._socket.new_context()
             self._tasks.append(asyncio.create_task(self._serve(context)))
 
     async def stop(self) -> None:
-        """Stop answering and close the socket."""
+        """Cancel the background tasks and close the socket."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -105,7 +115,7 @@
         except pynng.exceptions.Closed:
             raise
         except pynng.exceptions.NNGException as error:
-            log_event('answer not sent', error=str(error))
+            log_event('reply could not be sent', error=str(error))
 
     async def _answer(self, message: bytes) -> Body:
         decoded = self.codec.decode(message)
@@ -114,23 +124,24 @@
         try:
             return await self._handlers.answer(decoded.ok_value)
         except Exception as error:
-            # A fault in one handler must not end the task that serves all.
+            # A handler's exception must not end the task, which serves the
+            # requests of all other handlers too.
             log_event('handler failed', logging.ERROR, error=repr(error))
             return Refusal('handler-failed', type(error).__name__)
 
 
 class Requester:
-    """Sends messages to one address; owns its socket."""
+    """Client that sends messages to one address; owns its socket."""
 
     def __init__(self, address: str) -> None:
-        """Dial an address in the background.
+        """Open a socket that connects to an address in the background.
 
         :param address: ``tcp://ip:port``.
         """
         self.codec = Codec()
         self._address = address
         self._socket = pynng.Req0(
-            resend_time=_NEVER_RESEND_MS,
+            resend_time=_RESEND_DISABLED_MS,
             recv_max_size=_MAX_MESSAGE_BYTES,
         )
         self._socket.dial(address, block=False)
@@ -145,10 +156,11 @@
         expected: type[_BodyType],
         timeout_s: float,
     ) -> Result[_BodyType, TransportError]:
-        """Send a message and return its answer.
+        """Send a message and return its answer if it has the expected type.
 
-        :param expected: type of a good answer.
-        :param timeout_s: longest wait, in seconds.
+        :param expected: type of the answer on success; an answer of any
+            other type is returned as :class:`PeerRefusalError`.
+        :param timeout_s: longest wait for the answer, in seconds.
         """
         answer = await self.exchange(body, timeout_s)
         if isinstance(answer, Err):
@@ -162,11 +174,17 @@
         body: Body,
         timeout_s: float,
     ) -> Result[Body, TransportError]:
-        """Send a message and return an answer of any type but refusal."""
+        """Send a message and return its answer, whatever its type.
+
+        A refusal and an undecodable answer are returned as
+        :class:`PeerRefusalError`, a failed socket operation like a timeout.
+
+        :param timeout_s: longest wait for the answer, in seconds.
+        """
         with self._socket.new_context() as context:
             try:
                 async with asyncio.timeout(timeout_s):
-                    message = await self._swap(context, body)
+                    message = await self._send_and_receive(context, body)
             except (TimeoutError, pynng.exceptions.NNGException):
                 return Err(PeerTimeoutError(self._address))
         decoded = self.codec.decode(message)
@@ -176,26 +194,28 @@
             return Err(PeerRefusalError(decoded.ok_value.code))
         return Ok(decoded.ok_value)
 
-    async def _swap(self, context: pynng.Context, body: Body) -> bytes:
+    async def _send_and_receive(
+        self, context: pynng.Context, body: Body
+    ) -> bytes:
         await await_cancellable(context.asend(self.codec.encode(body)))
         return cast(bytes, await await_cancellable(context.arecv()))
 
 
 class RequesterPool:
-    """Requesters by address, opened on first use."""
+    """Cache of requesters by address; each is opened on first use."""
 
     def __init__(self) -> None:
-        """Start without requesters."""
+        """Create an empty pool."""
         self._requesters: dict[str, Requester] = {}
 
     def get(self, address: str) -> Requester:
-        """Return the requester for an address."""
+        """Return the requester for an address, opening it if necessary."""
         if address not in self._requesters:
             self._requesters[address] = Requester(address)
         return self._requesters[address]
 
     def close(self) -> None:
-        """Close all requesters."""
+        """Close and forget all requesters."""
         for requester in self._requesters.values():
             requester.close()
         self._requesters.clear()
--- a/crocusshunt/messages/_store.py
+++ b/crocusshunt/messages/_store.py
@@ -1,4 +1,4 @@
-"""Messages of processes that reach the table service through another."""
+"""Messages that relay table service calls through another process."""
 
 from crocusshunt.messages._bodies import Body, register_body
 from crocusshunt.store import Query, StoredRow, Write
@@ -6,7 +6,7 @@
 
 @register_body('read-row')
 class ReadRow(Body, frozen=True):
-    """Asks for one row."""
+    """Requests one row by its key."""
 
     table: str
     key: str
@@ -14,35 +14,37 @@
 
 @register_body('query-rows')
 class QueryRows(Body, frozen=True):
-    """Asks for a range of rows."""
+    """Requests a range of rows."""
 
     query: Query
 
 
 @register_body('stored-rows')
 class StoredRows(Body, frozen=True):
-    """Rows read, none where the row asked for is absent."""
+    """Returns the rows found; empty if the requested row does not exist."""
 
     rows: tuple[StoredRow, ...]
 
 
 @register_body('transact-rows')
 class TransactRows(Body, frozen=True):
-    """Asks for all writes or none."""
+    """Requests that all writes are applied atomically, or none."""
 
     writes: tuple[Write, ...]
 
 
 @register_body('transacted')
 class Transacted(Body, frozen=True):
-    """All writes took effect."""
+    """Reports that all writes were applied."""
 
 
 @register_body('write-conflict')
 class WriteConflict(Body, frozen=True):
-    """A condition did not hold; no write took effect.
+    """Reports a failed write condition; no write was applied.
 
-    :param version: version found, 0 where the row is absent.
+    :param table: table of the row whose condition failed.
+    :param key: key of that row.
+    :param version: current version of that row, 0 if it does not exist.
     """
 
     table: str
--- a/crocusshunt/messages/tests/test_cancellation.py
+++ b/crocusshunt/messages/tests/test_cancellation.py
@@ -1,4 +1,8 @@
-"""Cancellation that an operation swallows."""
+"""Tests of cancellation and timeout of an operation that suppresses them.
+
+pynng operations that complete while they are being cancelled return normally;
+the task must be cancelled all the same.
+"""
 
 import asyncio
 
@@ -7,7 +11,7 @@
 from crocusshunt.messages._cancellation import await_cancellable
 
 
-async def _swallow_cancellation() -> str:
+async def _suppress_cancellation() -> str:
     try:
         await asyncio.Event().wait()
     except asyncio.CancelledError:
@@ -15,15 +19,15 @@
     return ''
 
 
-async def test_swallowed_cancellation_is_raised_again() -> None:
-    task = asyncio.create_task(await_cancellable(_swallow_cancellation()))
+async def test_suppressed_cancellation_is_raised() -> None:
+    task = asyncio.create_task(await_cancellable(_suppress_cancellation()))
     await asyncio.sleep(0)
     task.cancel()
     with pytest.raises(asyncio.CancelledError):
         await task
 
 
-async def test_swallowed_timeout_is_raised_again() -> None:
+async def test_suppressed_timeout_is_raised() -> None:
     with pytest.raises(TimeoutError):
         async with asyncio.timeout(0):
-            await await_cancellable(_swallow_cancellation())
+            await await_cancellable(_suppress_cancellation())
--- a/crocusshunt/messages/tests/test_messages.py
+++ b/crocusshunt/messages/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Codec and sockets under damaged input and failing handlers."""
+"""Tests of the codec with damaged input, and of the sockets."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 )
 
 
-def test_message_survives_the_wire() -> None:
+def test_message_round_trip() -> None:
     codec = Codec()
     body = BorrowTokens('loan-1', 'court', 4)
     assert codec.decode(codec.encode(body)) == Ok(body)
@@ -50,8 +50,8 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=200))
-def test_noise_is_refused_with_a_type(noise: bytes) -> None:
-    assert Codec().decode(noise).is_err()
+def test_random_bytes_are_refused(message: bytes) -> None:
+    assert Codec().decode(message).is_err()
 
 
 @settings(derandomize=True, max_examples=300)
@@ -64,15 +64,15 @@
     assert decoded.is_ok() or codec.refused.total() == 1
 
 
-async def test_failing_handler_does_not_end_the_replier() -> None:
+async def test_handler_exception_does_not_stop_the_replier() -> None:
     handlers = Handlers()
 
     @handlers.register(FetchHosts)
-    async def fail(question: FetchHosts) -> HostList:
+    async def fail(request: FetchHosts) -> HostList:
         raise RuntimeError('broken')
 
     @handlers.register(BorrowTokens)
-    async def refuse(question: BorrowTokens) -> Refusal:
+    async def refuse(request: BorrowTokens) -> Refusal:
         return Refusal('rate-exceeded')
 
     replier = Replier('tcp://127.0.0.1:0', handlers)
@@ -87,24 +87,24 @@
     await replier.stop()
 
 
-async def test_absent_peer_times_out() -> None:
+async def test_request_to_absent_peer_times_out() -> None:
     requester = Requester('tcp://127.0.0.1:9')
     absent = await requester.exchange(FetchHosts(), 0.05)
     assert isinstance(absent.unwrap_err(), PeerTimeoutError)
     requester.close()
 
 
-async def test_long_wait_does_not_hold_up_other_questions() -> None:
+async def test_slow_request_does_not_block_others() -> None:
     handlers = Handlers()
     released = asyncio.Event()
 
     @handlers.register(FetchHosts)
-    async def wait(question: FetchHosts) -> HostList:
+    async def wait(request: FetchHosts) -> HostList:
         await released.wait()
         return HostList(())
 
     @handlers.register(BorrowTokens)
-    async def refuse(question: BorrowTokens) -> Refusal:
+    async def refuse(request: BorrowTokens) -> Refusal:
         return Refusal('rate-exceeded')
 
     replier = Replier('tcp://127.0.0.1:0', handlers)
