--- a/crocusshunt/api/tests/test_witnesses.py
+++ b/crocusshunt/api/tests/test_witnesses.py
@@ -147,5 +147,5 @@
 def _has_quorum(site: _Site, feed: Feed) -> bool:
     """Tell whether witnesses alone vouch, whatever the store says."""
     revision = feed.configuration.revision
-    age = feed._testimonies.measure_age(revision, feed.witness_addresses)
+    age = feed._testimonies.measure_quorum_age(revision, feed.witness_addresses)
     return age <= _EVIDENCE_S
--- a/crocusshunt/replication/_feed.py
+++ b/crocusshunt/replication/_feed.py
@@ -18,7 +18,7 @@
 from crocusshunt.logs import log_event
 from crocusshunt.messages import Body, ChangeFeed, FetchChanges, SnapshotFeed
 from crocusshunt.routing import Tables
-from crocusshunt.witnesses import QuorumLog, Suspension, Testimony, Witness
+from crocusshunt.witnesses import QuorumTracker, Suspension, Testimony, Witness
 
 _RECENT_S = 5
 Listener = Callable[[Configuration], None]
@@ -33,7 +33,7 @@
         self._history = History()
         self._listeners: list[Listener] = []
         self._news = asyncio.Event()
-        self._testimonies = QuorumLog(clock)
+        self._testimonies = QuorumTracker(clock)
         self.witness_addresses: frozenset[str] = frozenset()
 
     @property
@@ -47,7 +47,7 @@
         The evidence is the store's or that of a quorum of witnesses.
         """
         revision = self.configuration.revision
-        quorum_age = self._testimonies.measure_age(
+        quorum_age = self._testimonies.measure_quorum_age(
             revision, self.witness_addresses
         )
         return min(self.evidence.measure_age(revision), quorum_age)
@@ -64,7 +64,10 @@
 
     def is_behind(self) -> bool:
         """Tell whether a witness knows of a newer revision."""
-        return self._testimonies.find_newest() > self.configuration.revision
+        return (
+            self._testimonies.find_newest_revision()
+            > self.configuration.revision
+        )
 
     def add_listener(self, listener: Listener) -> None:
         """Call a function with each new configuration."""
@@ -122,7 +125,7 @@
         :param asked_at: monotonic time before the question was sent.
         """
         for testimony in testimonies:
-            self._testimonies.note(testimony, asked_at)
+            self._testimonies.add(testimony, asked_at)
 
     async def answer(self, question: FetchChanges) -> Body:
         """Return what a follower lacks, waiting for news if it has all."""
@@ -131,7 +134,7 @@
         held = self.configuration
         age = self.evidence.measure_age(held.revision)
         evidence = Evidence(held.revision, age)
-        testimonies = self._testimonies.collect()
+        testimonies = self._testimonies.list_current()
         changes = self._history.list_changes_after(question.held)
         if isinstance(changes, Err):
             return _snapshot(held, evidence, testimonies)
--- a/crocusshunt/replication/_witnessing.py
+++ b/crocusshunt/replication/_witnessing.py
@@ -20,7 +20,7 @@
     RequesterPool,
 )
 from crocusshunt.replication._feed import Feed
-from crocusshunt.witnesses import Announcement, AnnouncementLog, Witness
+from crocusshunt.witnesses import Announcement, Witness, WitnessState
 
 _ANNOUNCE_TIMEOUT_S = 1
 _TESTIMONY_TIMEOUT_S = 0.5
@@ -63,7 +63,7 @@
         """Abstain until the head row was rewritten once."""
         self._repository = repository
         self._clock = clock
-        self._log = AnnouncementLog()
+        self._log = WitnessState()
 
     def register(self, handlers: Handlers) -> None:
         """Answer announcements and questions for testimony."""
@@ -72,7 +72,7 @@
 
     def observe(self, head: Head) -> None:
         """Take note of a head that was read from the store."""
-        self._log.observe(head.revision, head.version)
+        self._log.observe_head(head.revision, head.version)
 
     async def run(self, is_witness: Callable[[], bool]) -> None:
         """Settle what is open, for ever.
@@ -86,7 +86,7 @@
 
     async def settle(self) -> None:
         """Rewrite the head row where something open must be settled."""
-        if not self._log.needs_fence(self._clock.monotonic()):
+        if not self._log.is_fence_due(self._clock.monotonic()):
             return
         before = await self._repository.read_head()
         if isinstance(before, Ok):
@@ -103,7 +103,7 @@
         return ChangeNoted()
 
     async def _testify(self, question: FetchTestimony) -> Body:
-        testimony = self._log.testify()
+        testimony = self._log.create_testimony()
         if testimony is None:
             return Refusal('witness-abstains')
         return GivenTestimony(testimony)
--- a/crocusshunt/replication/tests/test_outage.py
+++ b/crocusshunt/replication/tests/test_outage.py
@@ -18,7 +18,7 @@
 from crocusshunt.messages import ChangeFeed, FetchChanges, SnapshotFeed
 from crocusshunt.replication import Feed
 from crocusshunt.routing import FailureDomain, Row, find_row_table
-from crocusshunt.witnesses import Announcement, AnnouncementLog, Witness
+from crocusshunt.witnesses import Announcement, Witness, WitnessState
 from crocusshunt.witnesses import Testimony as Given
 
 _SEATS = tuple(f'tcp://127.0.0.1:{port}' for port in (1, 2, 3))
@@ -52,11 +52,11 @@
     return attach_digest(Change(1, 'c1', 'mina', 'first', 0, edits, genesis))
 
 
-def _create_witnesses() -> dict[str, AnnouncementLog]:
-    witnesses = {address: AnnouncementLog() for address in _SEATS}
+def _create_witnesses() -> dict[str, WitnessState]:
+    witnesses = {address: WitnessState() for address in _SEATS}
     for log in witnesses.values():
-        log.observe(1, version=1)
-        log.observe(1, version=2)
+        log.observe_head(1, version=1)
+        log.observe_head(1, version=2)
     return witnesses
 
 
@@ -69,14 +69,16 @@
 
 def _collect(
     feed: Feed,
-    witnesses: dict[str, AnnouncementLog],
+    witnesses: dict[str, WitnessState],
     asked_at: float,
 ) -> None:
     feed.accept_testimonies(_ask(witnesses), asked_at)
 
 
-def _ask(witnesses: dict[str, AnnouncementLog]) -> tuple[Given, ...]:
-    asked = ((address, log.testify()) for address, log in witnesses.items())
+def _ask(witnesses: dict[str, WitnessState]) -> tuple[Given, ...]:
+    asked = (
+        (address, log.create_testimony()) for address, log in witnesses.items()
+    )
     return tuple(
         replace(given, address=address)
         for address, given in asked
@@ -120,11 +122,11 @@
     assert feed.find_suspension().keys == {'court'}
     assert feed.find_suspension().servers == {'s1'}
     log = witnesses[_SEATS[1]]
-    assert not log.needs_fence(clock.monotonic())
+    assert not log.is_fence_due(clock.monotonic())
     clock.advance(_BOUND_S)
-    assert log.needs_fence(clock.monotonic())
+    assert log.is_fence_due(clock.monotonic())
     for log in witnesses.values():
-        log.observe(1, version=3)
+        log.observe_head(1, version=3)
     _collect(feed, witnesses, clock.monotonic())
     assert not feed.find_suspension().keys
 
@@ -201,7 +203,7 @@
     peer = _create_feed(clock)
     witnesses = _create_witnesses()
     for address in _SEATS[1:]:
-        witnesses[address].observe(2, version=3)
+        witnesses[address].observe_head(2, version=3)
     _collect(peer, witnesses, clock.monotonic())
     assert peer.is_behind()
     assert peer.measure_evidence_age() == _FAR
--- a/crocusshunt/witnesses/_announcements.py
+++ b/crocusshunt/witnesses/_announcements.py
@@ -1,4 +1,4 @@
-"""What one witness knows, and what it testifies."""
+"""Announcements of changes, and the state and testimony of one witness."""
 
 from dataclasses import dataclass
 
@@ -6,17 +6,19 @@
 
 from crocusshunt.core import CrocusError
 
-_UNREAD = -1
-_UNRESOLVED_S = 5
+_UNREAD_VERSION = -1
+# Age at which an announcement without a known outcome has to be settled.
+_MAX_UNSETTLED_S = 5
 
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """A change that a writer is about to send to the store.
+    """A change that a writer is about to write to the store.
 
+    :param revision: revision that the change creates.
     :param base: version of the head row on which the write is conditional,
         read before the announcement.
-    :param keys: names of keys whose rows it changes or removes.
+    :param keys: names of keys whose rows the change edits or removes.
     :param servers: names of backend servers that it drains or removes.
     :param moves_witnesses: whether it changes the list of witnesses.
     """
@@ -31,13 +33,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Testimony:
-    """A witness's statement: no change beyond these, some seconds ago.
+    """Statement of a witness about all changes that it knows of.
 
-    :param address: where the witness was asked, which identifies it.
-    :param revision: newest revision it knows to be accepted.
-    :param version: version of the head row that held the revision.
+    It says that, ``age`` seconds ago, the witness knew of no change after
+    ``revision`` except those in ``pending``.
+
+    :param address: address of the witness, which identifies it.
+    :param revision: newest revision that it knows to be accepted.
+    :param version: version of the head row that contained the revision.
     :param pending: announced changes whose outcome it does not know.
-    :param age: seconds since a moment at which it held.
+    :param age: seconds since a moment at which the statement was true.
     """
 
     address: str
@@ -51,7 +56,8 @@
 class StaleAnnouncementError(CrocusError):
     """An announcement of a write that can no longer take effect.
 
-    :param version: version of the head row known to the witness.
+    :param version: version of the head row that the witness knows; it is
+        newer than the one on which the write is conditional.
     """
 
     code = 'announcement-stale'
@@ -59,38 +65,39 @@
     version: int
 
 
-class AnnouncementLog:
-    """State of one witness: the head it has read and what is announced.
+class WitnessState:
+    """The head row that one witness last read, and its pending announcements.
 
-    A write is conditional on the version of the head row, so a newer
-    version settles it: either it is behind that version or it never takes
-    effect. A witness that starts has forgotten what it acknowledged before;
-    all of that was conditional on the first version it reads now or an
-    older one. It abstains until it has read a newer version, which it gets
-    by rewriting the head row unchanged. No clock is involved.
+    A write is conditional on the version of the head row, so reading a newer
+    version settles it: the write is either included in that version or will
+    never take effect. A witness that restarts has lost the announcements that
+    it acknowledged before; all of them were conditional on the first version
+    that it reads now or on an older one. It gives no testimony until it has
+    read a newer version, which it creates by rewriting the head row
+    unchanged. None of this depends on a clock.
 
-    >>> log = AnnouncementLog()
-    >>> log.observe(4, version=6)
-    >>> log.testify() is None
+    >>> witness = WitnessState()
+    >>> witness.observe_head(4, version=6)
+    >>> witness.create_testimony() is None
     True
-    >>> log.observe(4, version=7)
-    >>> log.record(Announcement('c5', 5, base=7), now=0)
+    >>> witness.observe_head(4, version=7)
+    >>> witness.record(Announcement('c5', 5, base=7), now=0)
     Ok(None)
-    >>> [pending.change_id for pending in log.testify().pending]
+    >>> [one.change_id for one in witness.create_testimony().pending]
     ['c5']
     """
 
     def __init__(self) -> None:
-        """Start knowing nothing, and abstain."""
-        self._first_version = _UNREAD
-        self._version = _UNREAD
+        """Start without a head row; no testimony is given yet."""
+        self._first_version = _UNREAD_VERSION
+        self._version = _UNREAD_VERSION
         self._revision = 0
         self._pending: dict[tuple[str, int], Announcement] = {}
         self._recorded_at: dict[tuple[str, int], float] = {}
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether what was forgotten at the start is settled."""
+        """Tell whether all writes from before the start are settled."""
         return self._version > self._first_version
 
     def record(
@@ -98,7 +105,7 @@
         announcement: Announcement,
         now: float,
     ) -> Result[None, StaleAnnouncementError]:
-        """Keep an announcement until a newer head settles it.
+        """Store an announcement until a newer head row settles it.
 
         :param now: monotonic time in seconds.
         """
@@ -109,35 +116,43 @@
         self._recorded_at.setdefault(identity, now)
         return Ok(None)
 
-    def observe(self, revision: int, version: int) -> None:
-        """Take note of a head that was read from the store.
+    def observe_head(self, revision: int, version: int) -> None:
+        """Process a head row that was read from the store.
 
+        :param revision: newest revision, as stored in the head row.
         :param version: version of the head row.
         """
-        if self._first_version == _UNREAD:
+        if self._first_version == _UNREAD_VERSION:
             self._first_version = version
         if version <= self._version:
             return
         self._version = version
         self._revision = revision
-        settled = [key for key in self._pending if key[1] < version]
+        settled = [
+            identity for identity in self._pending if identity[1] < version
+        ]
         for identity in settled:
             self._pending.pop(identity)
             self._recorded_at.pop(identity)
 
-    def testify(self) -> Testimony | None:
-        """Return what this witness knows, None while it abstains."""
+    def create_testimony(self) -> Testimony | None:
+        """Return the testimony of this witness, None until it is ready.
+
+        Its address is empty: whoever asks the witness fills it in.
+        """
         if not self.is_ready:
             return None
-        pending = tuple(self._pending[key] for key in sorted(self._pending))
+        pending = tuple(
+            self._pending[identity] for identity in sorted(self._pending)
+        )
         return Testimony('', self._revision, self._version, pending)
 
-    def needs_fence(self, now: float) -> bool:
-        """Tell whether the head row should be rewritten to settle writes.
+    def is_fence_due(self, now: float) -> bool:
+        """Tell whether the head row has to be rewritten to settle writes.
 
         :param now: monotonic time in seconds.
         """
         if not self.is_ready:
             return True
         oldest = min(self._recorded_at.values(), default=now)
-        return now - oldest >= _UNRESOLVED_S
+        return now - oldest >= _MAX_UNSETTLED_S
--- a/crocusshunt/witnesses/_rows.py
+++ b/crocusshunt/witnesses/_rows.py
@@ -1,4 +1,4 @@
-"""The table of witnesses."""
+"""The configuration table of witnesses, and its checks."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -22,7 +22,7 @@
 @register_table('witness')
 @dataclass(frozen=True, slots=True)
 class Witness:
-    """A seat among the witnesses; a majority is counted over seats.
+    """A process that acts as witness; a majority is one of these rows.
 
     :param address: ``tcp://ip:port`` where its ``crocus-api`` listens.
     """
@@ -35,8 +35,8 @@
 
 @register_check
 def _check_addresses(tables: Tables) -> Iterator[Fault]:
-    seats = tables.select(Witness)
-    addresses = ((seat.name, seat.address) for seat in seats)
+    witnesses = tables.select(Witness)
+    addresses = ((witness.name, witness.address) for witness in witnesses)
     return find_shared_addresses('witness', addresses)
 
 
--- a/crocusshunt/witnesses/_testimonies.py
+++ b/crocusshunt/witnesses/_testimonies.py
@@ -1,4 +1,4 @@
-"""Testimonies that a host holds, and what a quorum of them shows."""
+"""Testimonies that a host has received, and what a quorum of them shows."""
 
 from collections.abc import Collection
 from dataclasses import dataclass, replace
@@ -6,97 +6,120 @@
 from crocusshunt.core import Clock
 from crocusshunt.witnesses._announcements import Testimony
 
-_KEPT_S = 60
-_NEVER = float('inf')
+_MAX_AGE_S = 60
+_NO_EVIDENCE = float('inf')
 
 
 @dataclass(frozen=True, slots=True)
 class Suspension:
-    """Keys and backend servers that pending changes may have withdrawn."""
+    """Keys and backend servers that pending changes may have withdrawn.
+
+    :param keys: names of the keys.
+    :param servers: names of the backend servers.
+    """
 
     keys: frozenset[str] = frozenset()
     servers: frozenset[str] = frozenset()
 
 
-class QuorumLog:
-    """Keeps the youngest testimony of each witness, on the local clock.
+class QuorumTracker:
+    """Keeps the most recent testimony of each witness.
+
+    Only ages are exchanged between hosts; here they are converted to times of
+    the local monotonic clock, so clock differences do not matter.
 
     >>> from crocusshunt.core import ManualClock
     >>> clock = ManualClock()
-    >>> log = QuorumLog(clock)
+    >>> tracker = QuorumTracker(clock)
     >>> for address in ('a', 'b'):
-    ...     log.note(Testimony(address, 4, 7, age=0.5), asked_at=0)
+    ...     tracker.add(Testimony(address, 4, 7, age=0.5), asked_at=0)
     >>> clock.advance(1)
-    >>> log.measure_age(4, ('a', 'b', 'c'))
+    >>> tracker.measure_quorum_age(4, ('a', 'b', 'c'))
     1.5
-    >>> log.measure_age(4, ('a', 'c', 'd'))
+    >>> tracker.measure_quorum_age(4, ('a', 'c', 'd'))
     inf
     """
 
     def __init__(self, clock: Clock) -> None:
-        """Start without testimonies."""
+        """Create a tracker without testimonies."""
         self._clock = clock
-        self._held: dict[str, tuple[float, Testimony]] = {}
+        self._entries: dict[str, tuple[float, Testimony]] = {}
 
-    def note(self, testimony: Testimony, asked_at: float) -> None:
-        """Keep a testimony if it is younger than its witness's last.
+    def add(self, testimony: Testimony, asked_at: float) -> None:
+        """Store a testimony unless a more recent one of its witness is stored.
 
-        :param asked_at: monotonic time before the question was sent.
+        :param asked_at: monotonic time in seconds, taken before the request
+            for the testimony was sent.
         """
-        fresh_at = asked_at - testimony.age
-        held = self._held.get(testimony.address)
-        if held is None or fresh_at > held[0]:
-            self._held[testimony.address] = (fresh_at, testimony)
+        valid_at = asked_at - testimony.age
+        stored = self._entries.get(testimony.address)
+        if stored is None or valid_at > stored[0]:
+            self._entries[testimony.address] = (valid_at, testimony)
+
+    def list_current(self) -> tuple[Testimony, ...]:
+        """Return the stored testimonies with their present ages.
 
-    def collect(self) -> tuple[Testimony, ...]:
-        """Return what is held with its age now, for other hosts."""
+        Testimonies older than 60 s are dropped.
+        """
         now = self._clock.monotonic()
-        self._held = {
-            address: held
-            for address, held in self._held.items()
-            if now - held[0] < _KEPT_S
+        self._entries = {
+            address: entry
+            for address, entry in self._entries.items()
+            if now - entry[0] < _MAX_AGE_S
         }
         return tuple(
-            replace(testimony, age=now - fresh_at)
-            for fresh_at, testimony in self._held.values()
+            replace(testimony, age=now - valid_at)
+            for valid_at, testimony in self._entries.values()
         )
 
-    def measure_age(self, revision: int, seats: Collection[str]) -> float:
-        """Return the age in seconds of a quorum that vouches for a revision.
-
-        Every change is announced to a majority of the seats of the revision
-        before it, so any majority holds a witness that knows of it.
-
-        :param revision: revision in force here.
-        :param seats: addresses of that revision's witnesses.
+    def measure_quorum_age(
+        self,
+        revision: int,
+        witnesses: Collection[str],
+    ) -> float:
+        """Return the age in seconds of a majority that confirms a revision.
+
+        A testimony confirms a revision if its witness knew of no newer
+        accepted one and of no pending change of the witnesses themselves.
+        Every change is announced to a majority of the witnesses of the
+        revision before it, so any majority includes a witness that knows of
+        it; see :meth:`find_suspension` for pending changes. The age of a
+        majority is that of its oldest testimony; the most recent majority
+        counts, and without one the age is infinite.
+
+        :param revision: revision in force on this host.
+        :param witnesses: addresses of that revision's witnesses.
         """
-        if not seats:
-            return _NEVER
-        vouched_at = sorted(
-            fresh_at
-            for address, (fresh_at, testimony) in self._held.items()
-            if address in seats and _vouches(testimony, revision)
+        if not witnesses:
+            return _NO_EVIDENCE
+        confirmed_at = sorted(
+            valid_at
+            for address, (valid_at, testimony) in self._entries.items()
+            if address in witnesses and _confirms(testimony, revision)
         )
-        quorum = len(seats) // 2 + 1
-        if len(vouched_at) < quorum:
-            return _NEVER
-        return self._clock.monotonic() - vouched_at[-quorum]
+        quorum = len(witnesses) // 2 + 1
+        if len(confirmed_at) < quorum:
+            return _NO_EVIDENCE
+        return self._clock.monotonic() - confirmed_at[-quorum]
 
     def find_suspension(self, revision: int, within_s: float) -> Suspension:
-        """Return what pending changes may already have withdrawn.
+        """Return the keys and servers that pending changes may have withdrawn.
 
-        :param revision: revision in force here.
-        :param within_s: oldest testimonies taken into account, in seconds.
+        :param revision: revision in force on this host.
+        :param within_s: age limit in seconds of the testimonies that are
+            taken into account.
         """
         since = self._clock.monotonic() - within_s
         recent = [
             testimony
-            for fresh_at, testimony in self._held.values()
-            if fresh_at >= since
+            for valid_at, testimony in self._entries.values()
+            if valid_at >= since
         ]
-        # Only a head that is in force here settles what was written before.
+        # A newer version of the head row settles a pending change. Only if the
+        # revision in that head row is in force on this host is it certain
+        # that the change did not take effect.
         settled = max(
-            (held.version for held in recent if held.revision <= revision),
+            (one.version for one in recent if one.revision <= revision),
             default=0,
         )
         pending = [
@@ -110,13 +133,13 @@
             frozenset(name for one in pending for name in one.servers),
         )
 
-    def find_newest(self) -> int:
-        """Return the newest revision that any witness knows of."""
-        held = self._held.values()
-        return max((one.revision for _fresh_at, one in held), default=0)
+    def find_newest_revision(self) -> int:
+        """Return the newest revision that any witness knows to be accepted."""
+        entries = self._entries.values()
+        return max((one.revision for _valid_at, one in entries), default=0)
 
 
-def _vouches(testimony: Testimony, revision: int) -> bool:
+def _confirms(testimony: Testimony, revision: int) -> bool:
     if testimony.revision > revision:
         return False
     return not any(
--- a/crocusshunt/witnesses/tests/__init__.py
+++ b/crocusshunt/witnesses/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the witnesses' decisions."""
+"""Tests of the witness protocol."""
