--- a/crocusshunt/api/_endpoints.py
+++ b/crocusshunt/api/_endpoints.py
@@ -17,7 +17,7 @@
     Role,
     UnknownOperatorError,
 )
-from crocusshunt.replication import Archive, Feed, StorePoller
+from crocusshunt.replication import SnapshotArchive, Feed, StorePoller
 from crocusshunt.store import Platform
 
 _STATUS_UNAUTHORIZED = 401
@@ -36,7 +36,7 @@
     repository: Repository
     feed: Feed
     origin: StorePoller
-    archive: Archive
+    archive: SnapshotArchive
 
 
 @dataclass(frozen=True, slots=True)
--- a/crocusshunt/api/_service.py
+++ b/crocusshunt/api/_service.py
@@ -20,7 +20,7 @@
 from crocusshunt.storeclient import HttpPlatform
 from crocusshunt.relay import register_relay
 from crocusshunt.replication import (
-    Archive,
+    SnapshotArchive,
     Feed,
     Follower,
     FollowerSettings,
@@ -56,7 +56,7 @@
             self.feed,
             clock,
             self._witness.observe,
-            Archive(self._platform, repository),
+            SnapshotArchive(self._platform, repository),
         )
         self._parts = self._create_parts(settings, clock)
         self._replier = Replier(settings.api.listen, self._register())
@@ -95,7 +95,7 @@
             clock,
             WitnessAnnouncer(self._requesters),
         )
-        archive = Archive(platform, repository)
+        archive = SnapshotArchive(platform, repository)
         observe = self._witness.observe
         return ApiParts(
             settings=settings,
--- a/crocusshunt/api/tests/test_witnesses.py
+++ b/crocusshunt/api/tests/test_witnesses.py
@@ -137,7 +137,7 @@
     settings = FollowerSettings((site.apis[0].address,), wait_s=0.1)
     follower = Follower(settings, feed, requesters, site.clock)
     for _ in range(_TRIES):
-        await follower.ask(site.apis[0].address)
+        await follower.poll_source(site.apis[0].address)
         if _is_vouched(feed):
             break
     requesters.close()
--- a/crocusshunt/replication/_feed.py
+++ b/crocusshunt/replication/_feed.py
@@ -1,4 +1,4 @@
-"""The configuration that a process holds, and its answers to followers."""
+"""The configuration replica of a process, and its answers to followers."""
 
 import asyncio
 from collections.abc import Callable
@@ -20,19 +20,26 @@
 from crocusshunt.routing import Tables
 from crocusshunt.witnesses import QuorumTracker, Suspension, Testimony, Witness
 
-_RECENT_S = 5
+_MAX_TESTIMONY_AGE_S = 5
 Listener = Callable[[Configuration], None]
 
 
 class Feed:
-    """Holds the configuration in force and tells listeners of news."""
+    """Replica of the configuration, with the evidence that it is the newest.
+
+    Listeners in the process are called with each new configuration; other
+    processes that follow this one are sent the changes that they lack.
+
+    :ivar evidence: evidence that was obtained by reading the store.
+    :ivar witness_addresses: addresses of the configured witnesses.
+    """
 
     def __init__(self, clock: Clock) -> None:
-        """Start before the first revision, without evidence."""
+        """Create an empty replica at revision 0, without evidence."""
         self.evidence = EvidenceTracker(clock)
         self._history = History()
         self._listeners: list[Listener] = []
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self._testimonies = QuorumTracker(clock)
         self.witness_addresses: frozenset[str] = frozenset()
 
@@ -42,9 +49,11 @@
         return self._history.configuration
 
     def measure_evidence_age(self) -> float:
-        """Return the age in seconds of the evidence for what is held.
+        """Return the age in seconds of the evidence for the configuration.
 
-        The evidence is the store's or that of a quorum of witnesses.
+        It is the time since the configuration was last known to be the
+        newest, confirmed by the store or by a majority of the witnesses,
+        whichever is more recent; infinite without such evidence.
         """
         revision = self.configuration.revision
         quorum_age = self._testimonies.measure_quorum_age(
@@ -52,10 +61,13 @@
         )
         return min(self.evidence.measure_age(revision), quorum_age)
 
-    def find_suspension(self, within_s: float = _RECENT_S) -> Suspension:
-        """Return what announced changes may already have withdrawn.
+    def find_suspension(
+        self, within_s: float = _MAX_TESTIMONY_AGE_S
+    ) -> Suspension:
+        """Return the keys and servers that pending changes may have withdrawn.
 
-        :param within_s: age in seconds up to which evidence is trusted.
+        :param within_s: age limit in seconds of the testimonies that are
+            taken into account.
         """
         return self._testimonies.find_suspension(
             self.configuration.revision,
@@ -70,7 +82,7 @@
         )
 
     def add_listener(self, listener: Listener) -> None:
-        """Call a function with each new configuration."""
+        """Register a function that is called with each new configuration."""
         self._listeners.append(listener)
 
     def accept_changes(
@@ -79,28 +91,34 @@
         evidence: Evidence,
         asked_at: float,
     ) -> bool:
-        """Apply changes and keep the evidence that came with them.
+        """Apply changes and record the evidence received with them.
 
-        :param asked_at: monotonic time before the question was sent.
+        :param evidence: evidence from the store or from another process.
+        :param asked_at: monotonic time in seconds, taken before the request
+            was sent.
         :return: whether every change was applied.
         """
-        before = self.configuration.revision
+        previous = self.configuration.revision
         is_applied = all(self._append(change) for change in changes)
         self.evidence.record(evidence, asked_at)
-        self._announce(before)
+        self._notify_listeners(previous)
         return is_applied
 
     def accept_snapshot(self, snapshot: SnapshotFeed, asked_at: float) -> bool:
-        """Replace what is held by a newer snapshot.
+        """Replace the configuration by a newer snapshot from another process.
 
-        :return: whether the snapshot was readable.
+        :param asked_at: monotonic time in seconds, taken before the request
+            was sent.
+        :return: whether all rows of the snapshot could be decoded.
         """
         rows = [
             decode_row(edit.table, edit.name, edit.after or '')
             for edit in snapshot.rows
         ]
         if any(row.is_err() for row in rows):
-            log_event('snapshot refused', revision=snapshot.revision)
+            log_event(
+                'undecodable snapshot refused', revision=snapshot.revision
+            )
             return False
         tables = Tables().put(*(row.unwrap() for row in rows))
         self.install(
@@ -110,69 +128,74 @@
         return True
 
     def install(self, snapshot: Configuration) -> None:
-        """Replace what is held by a newer configuration."""
-        before = self.configuration.revision
+        """Replace the configuration if the given one is newer."""
+        previous = self.configuration.revision
         self._history.install(snapshot)
-        self._announce(before)
+        self._notify_listeners(previous)
 
     def accept_testimonies(
         self,
         testimonies: tuple[Testimony, ...],
         asked_at: float,
     ) -> None:
-        """Keep the youngest testimony of each witness.
+        """Record testimonies; the most recent one of each witness is kept.
 
-        :param asked_at: monotonic time before the question was sent.
+        :param asked_at: monotonic time in seconds, taken before the request
+            was sent.
         """
         for testimony in testimonies:
             self._testimonies.add(testimony, asked_at)
 
-    async def answer(self, question: FetchChanges) -> Body:
-        """Return what a follower lacks, waiting for news if it has all."""
-        if question.held >= self.configuration.revision:
-            await self._wait(question.wait_s)
-        held = self.configuration
-        age = self.evidence.measure_age(held.revision)
-        evidence = Evidence(held.revision, age)
+    async def answer(self, request: FetchChanges) -> Body:
+        """Return the changes that a follower lacks.
+
+        If it lacks none, wait for a new one as long as the request allows. If
+        the changes that it lacks are no longer kept, return a snapshot.
+        """
+        if request.held >= self.configuration.revision:
+            await self._wait_for_change(request.wait_s)
+        configuration = self.configuration
+        age = self.evidence.measure_age(configuration.revision)
+        evidence = Evidence(configuration.revision, age)
         testimonies = self._testimonies.list_current()
-        changes = self._history.list_changes_after(question.held)
+        changes = self._history.list_changes_after(request.held)
         if isinstance(changes, Err):
-            return _snapshot(held, evidence, testimonies)
+            return _create_snapshot(configuration, evidence, testimonies)
         return ChangeFeed(changes.ok_value, evidence, testimonies)
 
     def _append(self, change: Change) -> bool:
         appended = self._history.append(change)
         if isinstance(appended, Err):
             error = appended.err_value
-            log_event('change refused', error=error.describe())
+            log_event('change could not be applied', error=error.describe())
         return appended.is_ok()
 
-    async def _wait(self, seconds: float) -> None:
+    async def _wait_for_change(self, seconds: float) -> None:
         try:
-            await asyncio.wait_for(self._news.wait(), seconds)
+            await asyncio.wait_for(self._changed.wait(), seconds)
         except TimeoutError:
             return
 
-    def _announce(self, before: int) -> None:
-        if self.configuration.revision == before:
+    def _notify_listeners(self, previous: int) -> None:
+        if self.configuration.revision == previous:
             return
         witnesses = self.configuration.tables.select(Witness)
         self.witness_addresses = frozenset(one.address for one in witnesses)
         for listener in self._listeners:
             listener(self.configuration)
-        self._news.set()
-        self._news = asyncio.Event()
+        self._changed.set()
+        self._changed = asyncio.Event()
 
 
-def _snapshot(
-    held: Configuration,
+def _create_snapshot(
+    configuration: Configuration,
     evidence: Evidence,
     testimonies: tuple[Testimony, ...],
 ) -> SnapshotFeed:
     return SnapshotFeed(
-        held.revision,
-        held.digest,
-        list_rows(held.tables),
+        configuration.revision,
+        configuration.digest,
+        list_rows(configuration.tables),
         evidence,
         testimonies,
     )
--- a/crocusshunt/replication/_follower.py
+++ b/crocusshunt/replication/_follower.py
@@ -1,4 +1,4 @@
-"""Keeps a feed up to date from the first source that answers."""
+"""Task that updates a feed from another process that has one."""
 
 import asyncio
 from dataclasses import dataclass
@@ -17,12 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class FollowerSettings:
-    """Where and how often a follower asks.
+    """Sources of a follower, and the timing of its requests.
 
-    :param sources: addresses asked, in order of preference.
-    :param wait_s: how long a source may hold a question without news.
-    :param timeout_s: wait for an answer beyond that.
-    :param pause_s: pause after a failed question, in seconds.
+    :param sources: addresses to poll, in order of preference.
+    :param wait_s: longest time in seconds that a source waits for a new
+        change before it answers (long poll).
+    :param timeout_s: time in seconds allowed for the answer in addition.
+    :param pause_s: pause in seconds after a failed request.
     """
 
     sources: tuple[str, ...]
@@ -32,7 +33,7 @@
 
 
 class Follower:
-    """Task that asks its sources for changes."""
+    """Polls one of several sources for changes and applies them to a feed."""
 
     def __init__(
         self,
@@ -41,28 +42,35 @@
         requesters: RequesterPool,
         clock: Clock,
     ) -> None:
-        """Prepare to follow."""
+        """Create a follower; ``run`` starts the polling.
+
+        :param feed: feed that is kept up to date.
+        """
         self._settings = settings
         self._feed = feed
         self._requesters = requesters
         self._clock = clock
 
     async def run(self) -> None:
-        """Ask for ever, moving to the next source after a failure."""
+        """Poll forever, moving to the next source after a failure."""
         position = 0
         while True:
             sources = self._settings.sources
-            if not await self.ask(sources[position % len(sources)]):
+            if not await self.poll_source(sources[position % len(sources)]):
                 position += 1
                 await asyncio.sleep(self._settings.pause_s)
 
-    async def ask(self, source: str) -> bool:
-        """Ask one source once; return whether its answer was of use."""
+    async def poll_source(self, source: str) -> bool:
+        """Poll one source once.
+
+        :return: whether the source answered, its changes were applied and it
+            is not known to be behind.
+        """
         settings = self._settings
         asked_at = self._clock.monotonic()
-        held = self._feed.configuration.revision
+        revision = self._feed.configuration.revision
         answer = await self._requesters.get(source).exchange(
-            FetchChanges(held, settings.wait_s),
+            FetchChanges(revision, settings.wait_s),
             settings.wait_s + settings.timeout_s,
         )
         if isinstance(answer, Err):
@@ -78,6 +86,7 @@
             body.evidence,
             asked_at,
         )
-        # A source without news that a witness has is behind: ask another.
-        has_news = bool(body.changes) or not self._feed.is_behind()
-        return is_applied and has_news
+        # A source that sends no changes although a witness knows of a newer
+        # revision is behind: the next one is polled instead.
+        is_current = bool(body.changes) or not self._feed.is_behind()
+        return is_applied and is_current
--- a/crocusshunt/replication/_archive.py
+++ b/crocusshunt/replication/_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots in the object store."""
+"""Configuration snapshots in the object store."""
 
 from result import Err, Ok, Result
 
@@ -16,31 +16,42 @@
 _CHANGES_PER_SNAPSHOT = 100
 
 
-class Archive:
-    """Writes snapshots now and then, and reads the newest."""
+class SnapshotArchive:
+    """Saves a snapshot of the configuration at intervals, and loads it.
+
+    Only the last snapshot that was saved is kept.
+    """
 
     def __init__(self, objects: ObjectStore, repository: Repository) -> None:
-        """Use an object store and the log that vouches for snapshots."""
+        """Use an object store and the change log.
+
+        :param repository: change log against which snapshots are verified.
+        """
         self._objects = objects
         self._repository = repository
 
-    async def save_if_due(self, held: Configuration) -> None:
-        """Write a snapshot at each hundredth revision."""
-        if held.revision % _CHANGES_PER_SNAPSHOT:
+    async def save_if_due(self, configuration: Configuration) -> None:
+        """Save a snapshot if the revision is a multiple of 100."""
+        if configuration.revision % _CHANGES_PER_SNAPSHOT:
             return
-        saved = await self.save(held)
+        saved = await self.save(configuration)
         if isinstance(saved, Err):
             log_event('snapshot not saved', error=saved.err_value.describe())
 
-    async def save(self, held: Configuration) -> Result[None, StoreError]:
-        """Write a snapshot of a configuration."""
-        body = encode_snapshot(held)
+    async def save(
+        self, configuration: Configuration
+    ) -> Result[None, StoreError]:
+        """Save a snapshot of a configuration, replacing the previous one."""
+        body = encode_snapshot(configuration)
         return await self._objects.put_object(SNAPSHOT_NAME, body)
 
     async def load(
         self,
     ) -> Result[Configuration, StoreError | DamagedSnapshotError]:
-        """Return the newest snapshot that the log vouches for."""
+        """Return the last snapshot, verified against the change log.
+
+        The log must contain a change with the snapshot's revision and digest.
+        """
         archived = await self._objects.get_object(SNAPSHOT_NAME)
         if isinstance(archived, Err):
             return archived
@@ -53,5 +64,9 @@
             return logged
         change = logged.ok_value
         if change is None or change.digest != snapshot.digest:
-            return Err(DamagedSnapshotError('it is not part of the log'))
+            return Err(
+                DamagedSnapshotError(
+                    'no logged change has its revision and digest'
+                )
+            )
         return Ok(snapshot)
--- a/crocusshunt/replication/_origin.py
+++ b/crocusshunt/replication/_store_poller.py
@@ -1,4 +1,4 @@
-"""Keeps a feed up to date from the platform's table service."""
+"""Task that updates a feed from the platform's table service."""
 
 import asyncio
 import random
@@ -9,31 +9,33 @@
 from crocusshunt.configuration import Evidence, Head, Repository
 from crocusshunt.core import Clock
 from crocusshunt.logs import log_event
-from crocusshunt.replication._archive import Archive
+from crocusshunt.replication._snapshots import SnapshotArchive
 from crocusshunt.replication._feed import Feed
 
 POLL_INTERVAL_S = 0.5
 
 
-def _ignore(head: Head) -> None:
-    """Take no note of a head."""
+def _ignore_head(head: Head) -> None:
+    """Do nothing with a head row."""
 
 
 class StorePoller:
-    """Task that reads the head of the chain and the changes behind it."""
+    """Polls the store for the head of the change log and for new changes."""
 
     def __init__(
         self,
         repository: Repository,
         feed: Feed,
         clock: Clock,
-        observe: Callable[[Head], None] = _ignore,
-        archive: Archive | None = None,
+        observe: Callable[[Head], None] = _ignore_head,
+        archive: SnapshotArchive | None = None,
     ) -> None:
-        """Prepare to poll.
+        """Create a poller; ``run`` starts the polling.
 
-        :param archive: snapshots that spare a start the whole log.
+        :param feed: feed that is kept up to date.
         :param observe: called with each head that was read.
+        :param archive: provides a snapshot at the start, so that the whole
+            change log need not be read.
         """
         self._repository = repository
         self._feed = feed
@@ -42,15 +44,18 @@
         self._archive = archive
 
     async def run(self) -> None:
-        """Poll for ever, with jitter."""
+        """Poll forever, at random intervals of 0.25 s to 0.75 s."""
         while True:
             await self.poll()
             await asyncio.sleep(POLL_INTERVAL_S * (0.5 + random.random()))
 
     async def poll(self) -> bool:
-        """Read the store once; return whether all of it was read.
+        """Read all new changes from the store.
 
-        The head is read last, so that it vouches for changes already held.
+        The head is read again after the changes: once it shows no newer
+        revision, it is evidence that the changes in the feed are complete.
+
+        :return: whether the feed has all changes.
         """
         while True:
             asked_at = self._clock.monotonic()
@@ -68,16 +73,16 @@
     async def _catch_up(self, revision: int) -> bool:
         if not self._feed.configuration.revision:
             await self._load_snapshot()
-        held = self._feed.configuration.revision
-        if held >= revision:
+        previous = self._feed.configuration.revision
+        if previous >= revision:
             return True
-        changes = await self._repository.read_changes(held)
+        changes = await self._repository.read_changes(previous)
         if isinstance(changes, Err) or not changes.ok_value:
             return False
         asked_at = self._clock.monotonic()
-        stale = Evidence(revision, float('inf'))
-        self._feed.accept_changes(changes.ok_value, stale, asked_at)
-        return self._feed.configuration.revision > held
+        no_evidence = Evidence(revision, float('inf'))
+        self._feed.accept_changes(changes.ok_value, no_evidence, asked_at)
+        return self._feed.configuration.revision > previous
 
     async def _load_snapshot(self) -> None:
         if self._archive is None:
@@ -85,6 +90,6 @@
         loaded = await self._archive.load()
         if isinstance(loaded, Err):
             error = loaded.err_value.describe()
-            log_event('no snapshot used', error=error)
+            log_event('snapshot not loaded, reading all changes', error=error)
             return
         self._feed.install(loaded.ok_value)
