--- a/crocusshunt/audit/__init__.py
+++ b/crocusshunt/audit/__init__.py
@@ -1,9 +1,9 @@
-"""Audit trail: its file form, and its verification without the store."""
+"""Audit trail of changes: its file format and its offline verification."""
 
 from crocusshunt.audit._trail import (
-    Trail,
     TrailError,
     UnreadableRecordError,
+    VerifiedTrail,
     decode_record,
     encode_record,
     read_trail,
@@ -11,9 +11,9 @@
 )
 
 __all__ = (
-    'Trail',
     'TrailError',
     'UnreadableRecordError',
+    'VerifiedTrail',
     'decode_record',
     'encode_record',
     'read_trail',
--- a/crocusshunt/audit/_trail.py
+++ b/crocusshunt/audit/_trail.py
@@ -1,5 +1,8 @@
 """Records of the audit trail as JSON lines, and their hash chain.
 
+Each record is a change, whose digest covers its content and the digest of the
+record before it. A record that is removed, altered or moved breaks the chain.
+
 Reference: S. Haber and W. S. Stornetta, "How to Time-Stamp a Digital
 Document", Journal of Cryptology 3, 1991.
 """
@@ -18,7 +21,7 @@
 class TrailError(CrocusError):
     """A trail with records that were removed, altered or reordered.
 
-    :param faults: every break of the chain.
+    :param faults: one fault for each place where the chain is broken.
     """
 
     code = 'trail-broken'
@@ -32,9 +35,10 @@
 
 @dataclass(unsafe_hash=True)
 class UnreadableRecordError(CrocusError):
-    """A line that holds no record.
+    """A line that is not a valid record.
 
     :param line: number of the line, from 1.
+    :param detail: description of the decoding error.
     """
 
     code = 'record-unreadable'
@@ -44,10 +48,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trail:
-    """What a verified trail covers.
+class VerifiedTrail:
+    """Summary of a trail whose hash chain is unbroken.
 
-    :param digest: digest of the last record; it stands for all before it.
+    :param records: number of records.
+    :param revision: revision of the last record, 0 if there is none.
+    :param digest: digest of the last record, which covers all before it.
     """
 
     records: int
@@ -56,14 +62,14 @@
 
 
 def encode_record(change: Change) -> str:
-    """Return a record as one line of JSON."""
+    """Return a change as one line of JSON."""
     return msgspec.json.encode(change, order='sorted').decode()
 
 
 def decode_record(text: str) -> Change:
-    """Return the record of a line.
+    """Return the change that a line contains.
 
-    :raises msgspec.DecodeError: the line holds no record.
+    :raises msgspec.DecodeError: the line is not a valid record.
     """
     return msgspec.json.decode(text, type=Change)
 
@@ -71,7 +77,7 @@
 def read_trail(
     lines: Iterable[str],
 ) -> Result[tuple[Change, ...], UnreadableRecordError]:
-    """Return the records of a file, in the file's order."""
+    """Decode the lines of a trail file, in the order of the file."""
     records: list[Change] = []
     for number, line in enumerate(lines, start=1):
         try:
@@ -84,12 +90,12 @@
 def verify_trail(
     records: Iterable[Change],
     head: str = '',
-) -> Result[Trail, TrailError]:
-    """Check that records are all there, unaltered and in order.
+) -> Result[VerifiedTrail, TrailError]:
+    """Verify that records are complete, unaltered and in order.
 
-    :param head: digest that the last record must have, from a source other
-        than the trail; without it, records removed from the end, or a chain
-        that was computed anew, go unnoticed.
+    :param head: expected digest of the last record, from a source other than
+        the trail; without it, records removed from the end and a chain with
+        recomputed digests are not detected.
 
     >>> first = Change(1, 'c1', 'mina', 'first', 0, (), GENESIS_DIGEST)
     >>> first = attach_digest(first)
@@ -112,7 +118,7 @@
         faults.append(Fault('end', problem, f'digest {head}'))
     if faults:
         return Err(TrailError(tuple(faults)))
-    return Ok(Trail(count, revision, digest))
+    return Ok(VerifiedTrail(count, revision, digest))
 
 
 def _find_breaks(
@@ -121,13 +127,15 @@
     digest: str,
 ) -> Iterator[Fault]:
     place = f'revision {record.revision}'
-    following = revision + 1
-    if record.revision > following:
-        gone = f'revisions {following} to {record.revision - 1}'
-        yield Fault(place, f'{gone} were removed or moved before it')
-    elif record.revision < following:
-        yield Fault(place, f'out of order: it stands after {revision}')
+    expected = revision + 1
+    if record.revision > expected:
+        missing = f'revisions {expected} to {record.revision - 1}'
+        yield Fault(place, f'{missing} were removed or moved before it')
+    elif record.revision < expected:
+        yield Fault(place, f'out of order: it follows revision {revision}')
     elif record.previous != digest:
-        yield Fault(place, 'does not continue the record before it')
+        yield Fault(
+            place, 'does not refer to the digest of the record before it'
+        )
     if attach_digest(record).digest != record.digest:
-        yield Fault(place, 'was altered: its content has another digest')
+        yield Fault(place, 'was altered: its content does not match its digest')
--- a/crocusshunt/audit/tests/test_trail.py
+++ b/crocusshunt/audit/tests/test_trail.py
@@ -1,4 +1,4 @@
-"""Tests that any tampering with a trail is found."""
+"""Tests that verification detects every kind of tampering with a trail."""
 
 from dataclasses import replace
 
@@ -16,7 +16,7 @@
 _LENGTH = 6
 
 
-def _build() -> list[Change]:
+def _create_trail() -> list[Change]:
     previous = GENESIS_DIGEST
     records = []
     for revision in range(1, _LENGTH + 1):
@@ -37,25 +37,26 @@
     return records
 
 
-_TRAIL = _build()
-_HEAD = _TRAIL[-1].digest
+_TRAIL = _create_trail()
+_HEAD_DIGEST = _TRAIL[-1].digest
 _POSITIONS = st.integers(0, _LENGTH - 1)
 
 
-def test_untouched_trail_survives_its_file() -> None:
+def test_file_round_trip_of_an_intact_trail() -> None:
     lines = [encode_record(record) for record in _TRAIL]
     read = read_trail(lines).unwrap()
-    assert verify_trail(read, _HEAD).unwrap().records == _LENGTH
+    assert verify_trail(read, _HEAD_DIGEST).unwrap().records == _LENGTH
     assert read_trail([*lines, '{}']).unwrap_err().line == _LENGTH + 1
 
 
 @settings(derandomize=True, max_examples=20)
 @given(_POSITIONS)
 def test_removed_record_is_found(position: int) -> None:
-    left = _TRAIL[:position] + _TRAIL[position + 1 :]
-    assert verify_trail(left, _HEAD).is_err()
+    remaining = _TRAIL[:position] + _TRAIL[position + 1 :]
+    assert verify_trail(remaining, _HEAD_DIGEST).is_err()
+    # Without the expected digest, removing the last record is not detected.
     is_last = position == _LENGTH - 1
-    assert verify_trail(left).is_err() is not is_last
+    assert verify_trail(remaining).is_err() is not is_last
 
 
 @settings(derandomize=True, max_examples=40)
@@ -67,8 +68,9 @@
     changed = replace(record, author=author, reason='other')
     altered[position] = changed
     assert verify_trail(altered).is_err()
+    # A record with a recomputed digest breaks the chain or changes its end.
     altered[position] = attach_digest(changed)
-    assert verify_trail(altered, _HEAD).is_err()
+    assert verify_trail(altered, _HEAD_DIGEST).is_err()
 
 
 @settings(derandomize=True, max_examples=40)
