--- a/crocusshunt/api/_endpoints.py
+++ b/crocusshunt/api/_endpoints.py
@@ -12,8 +12,8 @@
 from crocusshunt.core import Clock
 from crocusshunt.operators import (
     Operator,
+    OperatorAuthorizer,
     OperatorError,
-    Operators,
     Role,
     UnknownOperatorError,
 )
@@ -138,4 +138,4 @@
     digest = parts.settings.api.bootstrap_digest
     if not rows and digest:
         rows = (Operator(_BOOTSTRAP_NAME, Role.administer, digest),)
-    return Operators(rows).authorize(key, needed)
+    return OperatorAuthorizer(rows).authorize(key, needed)
--- a/crocusshunt/operators/__init__.py
+++ b/crocusshunt/operators/__init__.py
@@ -1,22 +1,22 @@
-"""Operators: their keys, roles and what each role may do."""
+"""Operators: their keys and roles, and the role that a change requires."""
 
-from crocusshunt.operators._permissions import Edited, find_needed_role
+from crocusshunt.operators._permissions import RowEdit, find_needed_role
 from crocusshunt.operators._roles import (
     ForbiddenError,
     Operator,
+    OperatorAuthorizer,
     OperatorError,
-    Operators,
     Role,
     UnknownOperatorError,
 )
 
 __all__ = (
-    'Edited',
     'ForbiddenError',
     'Operator',
+    'OperatorAuthorizer',
     'OperatorError',
-    'Operators',
     'Role',
+    'RowEdit',
     'UnknownOperatorError',
     'find_needed_role',
 )
--- a/crocusshunt/operators/_permissions.py
+++ b/crocusshunt/operators/_permissions.py
@@ -1,4 +1,4 @@
-"""Roles that changes need, and checks of the operator table."""
+"""The role that a change requires, and checks of the operator table."""
 
 from collections.abc import Iterable, Iterator
 from typing import Protocol
@@ -8,19 +8,21 @@
 from crocusshunt.operators._roles import Operator, Role
 from crocusshunt.routing import Tables, register_check
 
-_ADMINISTERED_TABLES = frozenset(('operator',))
+_ADMINISTRATOR_TABLES = frozenset(('operator',))
 
 
-class Edited(Protocol):
-    """An edit of a row, of which only the table matters here."""
+class RowEdit(Protocol):
+    """An edit of a row; only its table decides which role it requires."""
 
     @property
     def table(self) -> str:
-        """Return the name of the table."""
+        """Return the name of the row's table."""
 
 
-def find_needed_role(edits: Iterable[Edited]) -> Role:
-    """Return the least role whose operator may propose some edits.
+def find_needed_role(edits: Iterable[RowEdit]) -> Role:
+    """Return the least role that may propose a change with these edits.
+
+    Edits of the operator table require the role administer.
 
     :param edits: all edits of one change.
 
@@ -28,7 +30,7 @@
     'operate'
     """
     tables = {edit.table for edit in edits}
-    if tables & _ADMINISTERED_TABLES:
+    if tables & _ADMINISTRATOR_TABLES:
         return Role.administer
     return Role.operate
 
@@ -48,10 +50,10 @@
 @register_check
 def _check_separate_keys(tables: Tables) -> Iterator[Fault]:
     owners: dict[str, str] = {}
-    for place, digest in _list_digests(tables):
-        owner = owners.setdefault(digest, place)
-        if owner != place:
-            yield Fault(place, f'has the same key as {owner}', 'its own key')
+    for row, digest in _list_digests(tables):
+        owner = owners.setdefault(digest, row)
+        if owner != row:
+            yield Fault(row, f'has the same key as {owner}', 'its own key')
 
 
 def _list_digests(tables: Tables) -> Iterator[tuple[str, str]]:
--- a/crocusshunt/operators/_roles.py
+++ b/crocusshunt/operators/_roles.py
@@ -1,4 +1,4 @@
-"""Authentication and authorisation of operators."""
+"""Roles of operators, their authentication and their authorisation."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -13,20 +13,21 @@
 
 
 class Role(str, Enum):
-    """What an operator may do; each role includes those before it."""
+    """Permissions of an operator; each role includes the ones before it."""
 
     read = 'read'
     operate = 'operate'
     administer = 'administer'
 
 
+# Position of each role in the order of increasing permissions.
 _RANKS = {role: rank for rank, role in enumerate(Role)}
 
 
 @register_table('operator')
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """An operator; the key itself is never stored.
+    """A row of the operator table; the key itself is never stored.
 
     :param digest: SHA-256 of the operator's key, in hexadecimal.
     """
@@ -38,14 +39,14 @@
 
 @dataclass(unsafe_hash=True)
 class OperatorError(CrocusError):
-    """A call to the operators' interface that is not allowed."""
+    """A call to the operators' API that is not allowed."""
 
     code = 'operator'
 
 
 @dataclass(unsafe_hash=True)
 class UnknownOperatorError(OperatorError):
-    """The call carried no operator's key."""
+    """The call carried no key, or a key that belongs to no operator."""
 
     code = 'operator-unknown'
 
@@ -54,7 +55,8 @@
 class ForbiddenError(OperatorError):
     """The operator's role does not allow the call.
 
-    :param needed: role that allows it.
+    :param name: name of the operator.
+    :param needed: least role that allows the call.
     """
 
     code = 'operator-forbidden'
@@ -63,23 +65,24 @@
     needed: Role
 
     def describe(self) -> str:
-        """Return who lacks which role."""
+        """Return one line with the operator and the missing role."""
         return f'{self.code}: {self.name} needs the role {self.needed.value}'
 
 
-class Operators:
-    """Answers which operator a key stands for.
+class OperatorAuthorizer:
+    """Finds the operator of a key and checks the operator's role.
 
     >>> row = Operator('mina', Role.operate, digest_key('ok_mina_00'))
-    >>> Operators((row,)).authorize('ok_mina_00', Role.read).unwrap().name
+    >>> authorizer = OperatorAuthorizer((row,))
+    >>> authorizer.authorize('ok_mina_00', Role.read).unwrap().name
     'mina'
-    >>> denied = Operators((row,)).authorize('ok_mina_00', Role.administer)
+    >>> denied = authorizer.authorize('ok_mina_00', Role.administer)
     >>> denied.unwrap_err().needed.value
     'administer'
     """
 
     def __init__(self, operators: Iterable[Operator]) -> None:
-        """Hold the rows of operators."""
+        """Use the rows of the operator table."""
         self._operators = tuple(operators)
 
     def authorize(
@@ -87,8 +90,9 @@
         key: str,
         needed: Role,
     ) -> Result[Operator, OperatorError]:
-        """Return the operator of a key whose role allows a call.
+        """Return the operator of a key if its role allows a call.
 
+        :param key: key that the call carried, empty if it carried none.
         :param needed: least role that allows the call.
         """
         digest = digest_key(key)
