--- a/crocusshunt/schema/__init__.py
+++ b/crocusshunt/schema/__init__.py
@@ -1,8 +1,10 @@
-"""All tables of a configuration.
+"""The tables of a configuration, with the row type of each.
 
-Row types are looked up here and not in the routing package, so that every
-process that reads a change knows every table. A new table's package is
-added to the imports below; it must not import the configuration package.
+A package registers the tables that it defines when it is imported. Row types
+are looked up through this package, not through the routing package, because
+its imports register all tables, so that every process can decode every
+change. The package of a new table must be added to the imports below; it must
+not import the configuration package, which would be a circular import.
 """
 
 from crocusshunt.drains import Drain
