--- a/crocusshunt/messages/__init__.py
+++ b/crocusshunt/messages/__init__.py
@@ -23,6 +23,7 @@
     PeerTimeoutError,
     TransportError,
 )
+from crocusshunt.messages._heartbeats import GatewayHeartbeat, HeartbeatNoted
 from crocusshunt.messages._loans import (
     BorrowTokens,
     FencedLease,
@@ -42,7 +43,6 @@
     ProbeAnswer,
     RelayProbe,
 )
-from crocusshunt.messages._heartbeats import GatewayHeartbeat, HeartbeatNoted
 from crocusshunt.messages._sockets import (
     Handlers,
     Replier,
--- a/crocusshunt/replication/_store_poller.py
+++ b/crocusshunt/replication/_store_poller.py
@@ -9,8 +9,8 @@
 from crocusshunt.configuration import Evidence, Head, Repository
 from crocusshunt.core import Clock
 from crocusshunt.logs import log_event
-from crocusshunt.replication._snapshots import SnapshotArchive
 from crocusshunt.replication._feed import Feed
+from crocusshunt.replication._snapshots import SnapshotArchive
 
 POLL_INTERVAL_S = 0.5
 
--- a/crocusshunt/replication/tests/test_snapshots.py
+++ b/crocusshunt/replication/tests/test_snapshots.py
@@ -16,8 +16,8 @@
 from crocusshunt.messages import ChangeFeed, FetchChanges, SnapshotFeed
 from crocusshunt.replication import (
     SNAPSHOT_NAME,
-    SnapshotArchive,
     Feed,
+    SnapshotArchive,
     StorePoller,
 )
 from crocusshunt.routing import Pool
