--- a/crocusshunt/api/__init__.py
+++ b/crocusshunt/api/__init__.py
@@ -1,4 +1,8 @@
-"""The operators' interface and the system's access to the store."""
+"""The operators' API server, which also replicates the configuration.
+
+Its processes are the ones that reach the store: controllers fetch changes and
+the list of hosts from them, and they act as witnesses.
+"""
 
 from crocusshunt.api._documents import (
     AcceptedDocument,
--- a/crocusshunt/api/_documents.py
+++ b/crocusshunt/api/_documents.py
@@ -1,4 +1,4 @@
-"""JSON documents of the operators' interface."""
+"""JSON documents that the operators' API receives and returns."""
 
 import msgspec
 
@@ -6,9 +6,12 @@
 
 
 class ConflictDocument(msgspec.Struct, frozen=True):
-    """The change that came first.
+    """The accepted change with which a proposed change conflicts.
 
     :param revision: revision now in force.
+    :param author: operator who proposed the accepted change.
+    :param reason: reason that this operator gave.
+    :param edits: edits of the accepted change.
     """
 
     revision: int
@@ -18,10 +21,12 @@
 
 
 class ErrorDocument(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer to a call that failed.
+    """Response to a call that failed.
 
-    :param faults: everything wrong with the input, one line each.
-    :param conflict: the change that came first, if one did.
+    :param code: machine-readable error code.
+    :param detail: one-line description of the error.
+    :param faults: everything that is wrong with the input, one line each.
+    :param conflict: the accepted change that is in conflict, if any.
     """
 
     code: str
@@ -33,7 +38,8 @@
 class ChangeDocument(msgspec.Struct, frozen=True):
     """A proposed change.
 
-    :param expected: revision that the operator had seen.
+    :param expected: newest revision that the operator had seen; the change is
+        rejected if the store has another one.
     :param destroyed: witnesses whose processes an administrator states to
         have ended for good; they count neither for nor against the change.
     """
@@ -54,7 +60,10 @@
 
 
 class RowDocument(msgspec.Struct, frozen=True):
-    """A row in force, in its text form."""
+    """A row in force.
+
+    :param row: the row as JSON text.
+    """
 
     table: str
     name: str
@@ -62,7 +71,7 @@
 
 
 class ConfigurationDocument(msgspec.Struct, frozen=True):
-    """All rows in force."""
+    """All rows of the configuration in force."""
 
     revision: int
     digest: str
@@ -70,16 +79,18 @@
 
 
 class HistoryDocument(msgspec.Struct, frozen=True):
-    """Changes, oldest first."""
+    """A page of the accepted changes, oldest first."""
 
     changes: tuple[Change, ...]
 
 
 class StatusDocument(msgspec.Struct, frozen=True):
-    """State of the process that answers.
+    """State of the API process that answers.
 
-    :param evidence_age_s: seconds since the store was last read, None if
-        never.
+    :param host: name of its host.
+    :param revision: revision in force on it.
+    :param evidence_age_s: seconds since the store or a majority of the
+        witnesses last confirmed the revision as the newest, None if never.
     """
 
     host: str
--- a/crocusshunt/api/_endpoints.py
+++ b/crocusshunt/api/_endpoints.py
@@ -1,4 +1,4 @@
-"""Registry of the operators' endpoints, and who may call them."""
+"""Registry of the operators' endpoints, and their authorisation."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from aiohttp import web
 from result import Err, Result
 
-from crocusshunt.api._answers import respond_error
+from crocusshunt.api._responses import respond_error
 from crocusshunt.api._settings import ApiSettings
 from crocusshunt.configuration import Repository
 from crocusshunt.core import Clock
@@ -17,7 +17,7 @@
     Role,
     UnknownOperatorError,
 )
-from crocusshunt.replication import SnapshotArchive, Feed, StorePoller
+from crocusshunt.replication import Feed, SnapshotArchive, StorePoller
 from crocusshunt.store import Platform
 
 _STATUS_UNAUTHORIZED = 401
@@ -27,25 +27,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ApiParts:
-    """Parts of the process that endpoints use."""
+class ApiContext:
+    """Components of the API process that endpoints use."""
 
     settings: ApiSettings
     clock: Clock
     platform: Platform
     repository: Repository
     feed: Feed
-    origin: StorePoller
+    store_poller: StorePoller
     archive: SnapshotArchive
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One authorised call of an operator."""
+    """An authorised call of an operator."""
 
     request: web.Request
     operator: Operator
-    parts: ApiParts
+    context: ApiContext
 
 
 Handler = Callable[[Call], Awaitable[web.Response]]
@@ -53,7 +53,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A method and path, and the least role that may call it."""
+    """An HTTP endpoint.
+
+    :param method: HTTP method.
+    :param path: path pattern in the syntax of aiohttp routes.
+    :param needed: least role that may call the endpoint.
+    :param handler: function that answers authorised calls.
+    """
 
     method: str
     path: str
@@ -69,9 +75,10 @@
     path: str,
     needed: Role,
 ) -> Callable[[Handler], Handler]:
-    """Return a decorator that serves a method and path by a function.
+    """Return a decorator that registers a function as an endpoint.
 
-    :param path: path in the form that aiohttp routes.
+    :param method: HTTP method.
+    :param path: path pattern in the syntax of aiohttp routes.
     :param needed: least role that may call the endpoint.
     """
 
@@ -87,22 +94,25 @@
     return tuple(_ENDPOINTS)
 
 
-def route_endpoints(routes: web.UrlDispatcher, parts: ApiParts) -> None:
-    """Serve all registered endpoints."""
+def add_endpoint_routes(routes: web.UrlDispatcher, context: ApiContext) -> None:
+    """Add a route for each registered endpoint to an application."""
     for endpoint in _ENDPOINTS:
         routes.add_route(
             endpoint.method,
             endpoint.path,
-            _guard(endpoint, parts),
+            _require_role(endpoint, context),
         )
 
 
-def refuse_role(call: Call, needed: Role) -> web.Response | None:
-    """Return the refusal of a call that needs more than its endpoint does.
+def check_role(call: Call, needed: Role) -> web.Response | None:
+    """Check whether the operator of a call has a role.
+
+    Endpoints use it for calls that need a higher role than the endpoint.
 
     :param needed: least role that may make this call.
+    :return: the error response, None if the call is allowed.
     """
-    operator = _authorize(call.request, needed, call.parts)
+    operator = _authorize(call.request, needed, call.context)
     if isinstance(operator, Err):
         return _respond_refusal(operator.err_value)
     return None
@@ -114,15 +124,15 @@
     return respond_error(error, status)
 
 
-def _guard(
+def _require_role(
     endpoint: Endpoint,
-    parts: ApiParts,
+    context: ApiContext,
 ) -> Callable[[web.Request], Awaitable[web.Response]]:
     async def authorize(request: web.Request) -> web.Response:
-        operator = _authorize(request, endpoint.needed, parts)
+        operator = _authorize(request, endpoint.needed, context)
         if isinstance(operator, Err):
             return _respond_refusal(operator.err_value)
-        call = Call(request, operator.ok_value, parts)
+        call = Call(request, operator.ok_value, context)
         return await endpoint.handler(call)
 
     return authorize
@@ -131,11 +141,12 @@
 def _authorize(
     request: web.Request,
     needed: Role,
-    parts: ApiParts,
+    context: ApiContext,
 ) -> Result[Operator, OperatorError]:
     key = request.headers.get('Authorization', '').removeprefix(_BEARER)
-    rows = parts.feed.configuration.tables.select(Operator)
-    digest = parts.settings.api.bootstrap_digest
+    rows = context.feed.configuration.tables.select(Operator)
+    digest = context.settings.api.bootstrap_digest
+    # Without any operator, the bootstrap key may create the first ones.
     if not rows and digest:
         rows = (Operator(_BOOTSTRAP_NAME, Role.administer, digest),)
     return OperatorAuthorizer(rows).authorize(key, needed)
--- a/crocusshunt/api/_answers.py
+++ b/crocusshunt/api/_responses.py
@@ -1,4 +1,4 @@
-"""HTTP answers of the operators' interface."""
+"""HTTP responses of the operators' API."""
 
 from aiohttp import web
 
@@ -19,20 +19,26 @@
 
 
 def respond_accepted(change: Change) -> web.Response:
-    """Return the answer that names an accepted change."""
+    """Return the response for an accepted change."""
     return json_response(
         AcceptedDocument(change.revision, change.change_id, change.digest),
     )
 
 
 def respond_bad_request(detail: str) -> web.Response:
-    """Return the answer to input that cannot be read."""
+    """Return the response to input that cannot be decoded.
+
+    :param detail: description of the problem.
+    """
     document = ErrorDocument('bad-request', detail)
     return json_response(document, _STATUS_BAD_REQUEST)
 
 
 def respond_error(error: CrocusError, status: int) -> web.Response:
-    """Return the answer to a call that failed."""
+    """Return the response to a call that failed.
+
+    :param status: HTTP status code.
+    """
     faults: tuple[str, ...] = ()
     if isinstance(error, InvalidChangeError):
         faults = tuple(str(fault) for fault in error.faults)
@@ -40,12 +46,12 @@
         error.code,
         error.describe(),
         faults,
-        _show_conflict(error),
+        _describe_conflict(error),
     )
     return json_response(document, status)
 
 
-def _show_conflict(error: CrocusError) -> ConflictDocument | None:
+def _describe_conflict(error: CrocusError) -> ConflictDocument | None:
     if not isinstance(error, RevisionConflictError):
         return None
     return ConflictDocument(
--- a/crocusshunt/api/_service.py
+++ b/crocusshunt/api/_service.py
@@ -1,12 +1,12 @@
-"""HTTP service for operators, and source of changes for controllers."""
+"""HTTP server for operators, and message server for controllers."""
 
 from typing import Any
 
 from aiohttp import web
 
 from crocusshunt.api import _changes, _state
-from crocusshunt.api._endpoints import ApiParts, route_endpoints
-from crocusshunt.api._hosts import HostListing
+from crocusshunt.api._endpoints import ApiContext, add_endpoint_routes
+from crocusshunt.api._hosts import HostListCache
 from crocusshunt.api._settings import ApiSettings
 from crocusshunt.configuration import Repository
 from crocusshunt.core import Clock
@@ -20,10 +20,10 @@
 from crocusshunt.storeclient import HttpPlatform
 from crocusshunt.relay import register_relay
 from crocusshunt.replication import (
-    SnapshotArchive,
     Feed,
     Follower,
     FollowerSettings,
+    SnapshotArchive,
     StorePoller,
     TestimonyCollector,
     WitnessAnnouncer,
@@ -33,54 +33,58 @@
 from crocusshunt.web import HttpService
 
 _MAX_BODY_BYTES = 16_777_216
-# Modules whose import registers endpoints; a new module is added here.
+# Importing these modules registers their endpoints; a new one must be added.
 ENDPOINT_MODULES = (_state, _changes)
 
 
 class ApiService(HttpService):
-    """Takes changes from operators and reads them back from the store."""
+    """Accepts changes from operators and serves all changes to controllers.
+
+    The process also acts as a witness if the configuration lists it as one.
+    """
 
     def __init__(self, settings: ApiSettings, clock: Clock) -> None:
-        """Assemble the parts; nothing runs yet."""
+        """Create the components without starting any task."""
         super().__init__(settings.api.address, settings.api.port)
         self._tasks = TaskGroup()
         self._requesters = RequesterPool()
         self._platform = HttpPlatform(settings.platform)
-        # Operators' few calls are not refused because polls have failed.
+        # A client for operators' calls only: after failed polls, the circuit
+        # breaker of the other client refuses calls, but not those of operators.
         self._operators_platform = HttpPlatform(settings.platform)
         self.feed = Feed(clock)
         repository = Repository(self._platform, clock)
         self._witness = WitnessHandler(repository, clock)
-        self._origin = StorePoller(
+        self._store_poller = StorePoller(
             repository,
             self.feed,
             clock,
             self._witness.observe,
             SnapshotArchive(self._platform, repository),
         )
-        self._parts = self._create_parts(settings, clock)
-        self._replier = Replier(settings.api.listen, self._register())
+        self._context = self._create_context(settings, clock)
+        self._replier = Replier(settings.api.listen, self._create_handlers())
 
     @property
     def address(self) -> str:
-        """Return where controllers ask for changes."""
+        """Return the address at which controllers fetch changes."""
         return self._replier.address
 
     def create_application(self) -> web.Application:
-        """Return the operators' application."""
+        """Return the HTTP application with all endpoints."""
         application = web.Application(client_max_size=_MAX_BODY_BYTES)
-        route_endpoints(application.router, self._parts)
+        add_endpoint_routes(application.router, self._context)
         return application
 
     async def start(self) -> None:
-        """Read the store, listen for controllers and operators."""
+        """Start the message server, the tasks and the HTTP server."""
         await self._replier.start()
-        self._tasks.start(self._origin.run())
-        self._start_witnessing()
+        self._tasks.start(self._store_poller.run())
+        self._start_witness_tasks()
         await super().start()
 
     async def stop(self, exception: Exception | None = None) -> Any:
-        """Stop listening, then polling."""
+        """Stop the HTTP server, the tasks, the message server and clients."""
         await super().stop(exception)
         await self._tasks.stop()
         await self._replier.stop()
@@ -88,7 +92,11 @@
         await self._platform.close()
         await self._operators_platform.close()
 
-    def _create_parts(self, settings: ApiSettings, clock: Clock) -> ApiParts:
+    def _create_context(
+        self,
+        settings: ApiSettings,
+        clock: Clock,
+    ) -> ApiContext:
         platform = self._operators_platform
         repository = Repository(
             platform,
@@ -97,22 +105,24 @@
         )
         archive = SnapshotArchive(platform, repository)
         observe = self._witness.observe
-        return ApiParts(
+        return ApiContext(
             settings=settings,
             clock=clock,
             platform=platform,
             repository=repository,
             feed=self.feed,
-            origin=StorePoller(repository, self.feed, clock, observe, archive),
+            store_poller=StorePoller(
+                repository, self.feed, clock, observe, archive
+            ),
             archive=archive,
         )
 
-    def _start_witnessing(self) -> None:
-        parts = self._parts
+    def _start_witness_tasks(self) -> None:
+        context = self._context
         collector = TestimonyCollector(
             self.feed,
             self._requesters,
-            parts.clock,
+            context.clock,
         )
         self._tasks.start(collector.run())
         self._tasks.start(
@@ -120,20 +130,20 @@
                 lambda: self.address in self.feed.witness_addresses
             ),
         )
-        if parts.settings.api.peers:
+        if context.settings.api.peers:
             follower = Follower(
-                FollowerSettings(parts.settings.api.peers),
+                FollowerSettings(context.settings.api.peers),
                 self.feed,
                 self._requesters,
-                parts.clock,
+                context.clock,
             )
             self._tasks.start(follower.run())
 
-    def _register(self) -> Handlers:
+    def _create_handlers(self) -> Handlers:
         handlers = Handlers()
         handlers.register(FetchChanges)(self.feed.answer)
-        listing = HostListing(self._platform, self._parts.clock)
-        handlers.register(FetchHosts)(listing.answer)
+        host_list = HostListCache(self._platform, self._context.clock)
+        handlers.register(FetchHosts)(host_list.answer)
         self._witness.register(handlers)
         register_relay(handlers, self._platform)
         return handlers
--- a/crocusshunt/api/_state.py
+++ b/crocusshunt/api/_state.py
@@ -1,4 +1,4 @@
-"""Endpoints that show the state in force."""
+"""Endpoints that return the status and the configuration in force."""
 
 from aiohttp import web
 
@@ -15,12 +15,12 @@
 
 @register_endpoint('GET', '/v1/status', Role.read)
 async def show_status(call: Call) -> web.Response:
-    """Return the state of this process."""
-    feed = call.parts.feed
+    """Return the status of this API process."""
+    feed = call.context.feed
     age = feed.measure_evidence_age()
     return json_response(
         StatusDocument(
-            host=call.parts.settings.host.name,
+            host=call.context.settings.host.name,
             revision=feed.configuration.revision,
             evidence_age_s=None if age == float('inf') else age,
         ),
@@ -28,15 +28,17 @@
 
 
 @register_endpoint('GET', '/v1/configuration', Role.read)
-async def show_rows(call: Call) -> web.Response:
-    """Return all rows in force."""
-    await call.parts.origin.poll()
-    held = call.parts.feed.configuration
+async def show_configuration(call: Call) -> web.Response:
+    """Return all rows of the newest configuration."""
+    await call.context.store_poller.poll()
+    configuration = call.context.feed.configuration
     rows = tuple(
         RowDocument(table, name, encode_row(row))
-        for table, named in sorted(held.tables.rows.items())
+        for table, named in sorted(configuration.tables.rows.items())
         for name, row in sorted(named.items())
     )
     return json_response(
-        ConfigurationDocument(held.revision, held.digest, rows),
+        ConfigurationDocument(
+            configuration.revision, configuration.digest, rows
+        ),
     )
--- a/crocusshunt/api/tests/test_endpoints.py
+++ b/crocusshunt/api/tests/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Registry of endpoints and who may call them."""
+"""Tests of the endpoints and of the roles that they require."""
 
 from collections.abc import AsyncIterator
 from dataclasses import replace
@@ -18,15 +18,17 @@
 from crocusshunt.storeclient import PlatformSettings
 from crocusshunt.witnesses import Witness
 
-_KEY = 'ck_bootstrap_00'
-_OPERATE = 'ck_mina_00'
+_ADMINISTRATOR_KEY = 'ck_bootstrap_00'
+_OPERATOR_KEY = 'ck_mina_00'
 
 
 @pytest.fixture
 async def service() -> AsyncIterator[ApiService]:
     platform = PlatformService('127.0.0.1', 0)
     await platform.start()
-    section = ApiSection('127.0.0.1', 0, 'tcp://127.0.0.1:0', digest_key(_KEY))
+    section = ApiSection(
+        '127.0.0.1', 0, 'tcp://127.0.0.1:0', digest_key(_ADMINISTRATOR_KEY)
+    )
     started = ApiService(
         ApiSettings(
             HostIdentity('h1', 'addis', 'addis-a'),
@@ -41,30 +43,30 @@
     await platform.stop()
 
 
-async def test_every_endpoint_refuses_strangers(service: ApiService) -> None:
+async def test_every_endpoint_requires_a_key(service: ApiService) -> None:
     async with aiohttp.ClientSession() as session:
         for endpoint in list_endpoints():
             url = f'{service.url}{endpoint.path.replace("{id}", "c1")}'
-            async with session.request(endpoint.method, url) as answer:
-                assert answer.status == 401, endpoint
+            async with session.request(endpoint.method, url) as response:
+                assert response.status == 401, endpoint
 
 
 async def test_operator_gets_the_status(service: ApiService) -> None:
-    headers = {'Authorization': f'Bearer {_KEY}'}
+    headers = {'Authorization': f'Bearer {_ADMINISTRATOR_KEY}'}
     async with (
         aiohttp.ClientSession(headers=headers) as session,
-        session.get(f'{service.url}/v1/status') as answer,
+        session.get(f'{service.url}/v1/status') as response,
     ):
-        assert (await answer.json())['host'] == 'h1'
+        assert (await response.json())['host'] == 'h1'
 
 
 async def test_undecodable_change_is_a_bad_request(service: ApiService) -> None:
-    headers = {'Authorization': f'Bearer {_KEY}'}
+    headers = {'Authorization': f'Bearer {_ADMINISTRATOR_KEY}'}
     url = f'{service.url}/v1/changes'
     async with aiohttp.ClientSession(headers=headers) as session:
         for body in (b'\xff\xfe', b'{', b'{"change_id":1}'):
-            async with session.post(url, data=body) as answer:
-                assert answer.status == 400, body
+            async with session.post(url, data=body) as response:
+                assert response.status == 400, body
 
 
 def test_endpoints_are_unique() -> None:
@@ -72,22 +74,22 @@
     assert len(found) == len(set(found))
 
 
-async def test_role_of_a_change_depends_on_its_tables(
+async def test_required_role_depends_on_changed_tables(
     service: ApiService,
 ) -> None:
     rows = (
-        Operator('mina', Role.operate, digest_key(_OPERATE)),
-        Operator('root', Role.administer, digest_key(_KEY)),
+        Operator('mina', Role.operate, digest_key(_OPERATOR_KEY)),
+        Operator('root', Role.administer, digest_key(_ADMINISTRATOR_KEY)),
     )
-    first = await _propose(service, _KEY, *rows)
+    first = await _propose(service, _ADMINISTRATOR_KEY, *rows)
     assert first == 200
     pool = Pool('verify')
     witness = Witness('w', 'tcp://127.0.0.1:1', 'addis', 'addis-a')
     operator = replace(rows[0], role=Role.administer)
-    assert await _propose(service, _OPERATE, operator) == 403
-    assert await _propose(service, _OPERATE, witness) == 403
-    assert await _propose(service, _OPERATE, pool, destroyed=('w',)) == 403
-    assert await _propose(service, _OPERATE, pool) == 200
+    assert await _propose(service, _OPERATOR_KEY, operator) == 403
+    assert await _propose(service, _OPERATOR_KEY, witness) == 403
+    assert await _propose(service, _OPERATOR_KEY, pool, destroyed=('w',)) == 403
+    assert await _propose(service, _OPERATOR_KEY, pool) == 200
 
 
 async def _propose(
@@ -112,6 +114,6 @@
     body = msgspec.json.encode(document)
     async with (
         aiohttp.ClientSession(headers=headers) as session,
-        session.post(url, data=body) as answer,
+        session.post(url, data=body) as response,
     ):
-        return answer.status
+        return response.status
--- a/crocusshunt/api/tests/test_hosts.py
+++ b/crocusshunt/api/tests/test_hosts.py
@@ -1,8 +1,8 @@
-"""Calls to the platform for the list of hosts."""
+"""Tests of the cache of the platform's list of hosts."""
 
 import asyncio
 
-from crocusshunt.api._hosts import HostListing
+from crocusshunt.api._hosts import HostListCache
 from crocusshunt.core import ManualClock
 from crocusshunt.messages import FetchHosts, HostList, Refusal
 from crocusshunt.standin import MemoryPlatform
@@ -11,24 +11,24 @@
 _HOST = HostEntry('h1', 'addis', 'addis-a', 'http://h1', 'tcp://10.0.0.1:1')
 
 
-async def test_many_controllers_cost_one_call_a_second() -> None:
+async def test_platform_is_called_once_a_second() -> None:
     clock, platform = ManualClock(), MemoryPlatform()
     platform.hosts = (_HOST,)
-    listing = HostListing(platform, clock)
-    questions = [listing.answer(FetchHosts()) for _ in range(26)]
-    answers = await asyncio.gather(*questions)
+    host_list = HostListCache(platform, clock)
+    requests = [host_list.answer(FetchHosts()) for _ in range(26)]
+    answers = await asyncio.gather(*requests)
     assert all(answer == HostList((_HOST,)) for answer in answers)
     assert platform.calls == 1
     clock.advance(1)
-    await listing.answer(FetchHosts())
+    await host_list.answer(FetchHosts())
     assert platform.calls == 2
 
 
-async def test_outage_is_refused_and_ends() -> None:
+async def test_requests_are_refused_only_during_outage() -> None:
     clock, platform = ManualClock(), MemoryPlatform()
-    listing = HostListing(platform, clock)
+    host_list = HostListCache(platform, clock)
     platform.switches.is_down = True
-    assert isinstance(await listing.answer(FetchHosts()), Refusal)
+    assert isinstance(await host_list.answer(FetchHosts()), Refusal)
     platform.switches.is_down = False
     clock.advance(1)
-    assert await listing.answer(FetchHosts()) == HostList(())
+    assert await host_list.answer(FetchHosts()) == HostList(())
--- a/crocusshunt/api/tests/test_witnesses.py
+++ b/crocusshunt/api/tests/test_witnesses.py
@@ -1,4 +1,4 @@
-"""Interface processes as witnesses, over sockets."""
+"""Tests of API processes that act as witnesses, over real sockets."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -20,13 +20,15 @@
 from crocusshunt.witnesses import Witness
 
 _KEY = 'ck_bootstrap_00'
-_SEATS = 3
-_EVIDENCE_S = 4
-_TRIES = 400
+_WITNESS_COUNT = 3
+_MAX_EVIDENCE_AGE_S = 4
+_MAX_ATTEMPTS = 400
 
 
 @dataclass
-class _Site:
+class _Deployment:
+    """A simulated platform and the API processes that use it."""
+
     clock: ManualClock = field(default_factory=ManualClock)
     platform: PlatformService = field(
         default_factory=lambda: PlatformService('127.0.0.1', 0),
@@ -65,20 +67,20 @@
             return outcome.err_value.describe()
         return 'accepted'
 
-    async def name_witnesses(self) -> str:
+    async def configure_witnesses(self) -> str:
         rows = (
-            Witness(f'w{place}', api.address, 'addis', 'addis-a')
-            for place, api in enumerate(self.apis)
+            Witness(f'w{index}', api.address, 'addis', 'addis-a')
+            for index, api in enumerate(self.apis)
         )
         domain = FailureDomain('addis-a', 'addis')
         return await self.propose('c1', domain, *rows)
 
 
 @pytest.fixture
-async def site() -> AsyncIterator[_Site]:
-    created = _Site()
+async def deployment() -> AsyncIterator[_Deployment]:
+    created = _Deployment()
     await created.platform.start()
-    for _ in range(_SEATS):
+    for _ in range(_WITNESS_COUNT):
         await created.add_api()
     yield created
     for api in created.apis:
@@ -87,65 +89,76 @@
 
 
 async def _wait_for(predicate: Callable[[], bool]) -> bool:
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         if predicate():
             return True
         await asyncio.sleep(0.025)
     return False
 
 
-def _is_vouched(feed: Feed) -> bool:
+def _has_recent_evidence(feed: Feed) -> bool:
     is_loaded = feed.configuration.revision > 0
-    return is_loaded and feed.measure_evidence_age() <= _EVIDENCE_S
+    return is_loaded and feed.measure_evidence_age() <= _MAX_EVIDENCE_AGE_S
 
 
-async def test_outage_keeps_evidence_young(site: _Site) -> None:
-    assert await site.name_witnesses() == 'accepted'
-    assert await site.propose('c2', Pool('verify')) == 'accepted'
+async def test_evidence_stays_recent_during_an_outage(
+    deployment: _Deployment,
+) -> None:
+    assert await deployment.configure_witnesses() == 'accepted'
+    assert await deployment.propose('c2', Pool('verify')) == 'accepted'
     assert await _wait_for(
         lambda: all(
-            api.feed.configuration.revision == 2 and _is_vouched(api.feed)
-            for api in site.apis
+            api.feed.configuration.revision == 2
+            and _has_recent_evidence(api.feed)
+            for api in deployment.apis
         ),
     )
-    feed = site.apis[0].feed
-    assert await _wait_for(lambda: _has_quorum(site, feed))
-    site.platform.platform.switches.is_down = True
-    site.clock.advance(10)
-    assert await _wait_for(lambda: _is_vouched(feed))
-    peer = await site.add_api(tuple(api.address for api in site.apis))
-    assert await _wait_for(lambda: _is_vouched(peer.feed))
+    feed = deployment.apis[0].feed
+    assert await _wait_for(lambda: _has_quorum(deployment, feed))
+    deployment.platform.platform.switches.is_down = True
+    deployment.clock.advance(10)
+    assert await _wait_for(lambda: _has_recent_evidence(feed))
+    peer = await deployment.add_api(
+        tuple(api.address for api in deployment.apis)
+    )
+    assert await _wait_for(lambda: _has_recent_evidence(peer.feed))
     assert peer.feed.configuration == feed.configuration
 
 
-async def test_change_needs_a_majority(site: _Site) -> None:
-    assert await site.name_witnesses() == 'accepted'
-    for api in site.apis[1:]:
+async def test_change_requires_a_majority_of_witnesses(
+    deployment: _Deployment,
+) -> None:
+    assert await deployment.configure_witnesses() == 'accepted'
+    for api in deployment.apis[1:]:
         await api.stop()
-    refused = await site.propose('c2', Pool('verify'))
+    refused = await deployment.propose('c2', Pool('verify'))
     assert 'witnesses-missing' in refused
-    assert site.apis[0].feed.configuration.revision == 1
+    assert deployment.apis[0].feed.configuration.revision == 1
 
 
-async def test_controller_learns_evidence_from_a_relay(site: _Site) -> None:
-    assert await site.name_witnesses() == 'accepted'
-    assert await _wait_for(lambda: _has_quorum(site, site.apis[0].feed))
-    site.platform.platform.switches.is_down = True
-    site.clock.advance(10)
+async def test_controller_gets_evidence_from_api_process(
+    deployment: _Deployment,
+) -> None:
+    assert await deployment.configure_witnesses() == 'accepted'
+    assert await _wait_for(
+        lambda: _has_quorum(deployment, deployment.apis[0].feed)
+    )
+    deployment.platform.platform.switches.is_down = True
+    deployment.clock.advance(10)
     requesters = RequesterPool()
-    feed = Feed(site.clock)
-    settings = FollowerSettings((site.apis[0].address,), wait_s=0.1)
-    follower = Follower(settings, feed, requesters, site.clock)
-    for _ in range(_TRIES):
-        await follower.poll_source(site.apis[0].address)
-        if _is_vouched(feed):
+    feed = Feed(deployment.clock)
+    settings = FollowerSettings((deployment.apis[0].address,), wait_s=0.1)
+    follower = Follower(settings, feed, requesters, deployment.clock)
+    for _ in range(_MAX_ATTEMPTS):
+        await follower.poll_source(deployment.apis[0].address)
+        if _has_recent_evidence(feed):
             break
     requesters.close()
-    assert _is_vouched(feed)
+    assert _has_recent_evidence(feed)
 
 
-def _has_quorum(site: _Site, feed: Feed) -> bool:
-    """Tell whether witnesses alone vouch, whatever the store says."""
+def _has_quorum(deployment: _Deployment, feed: Feed) -> bool:
+    """Tell whether the witnesses alone provide recent evidence."""
     revision = feed.configuration.revision
     age = feed._testimonies.measure_quorum_age(revision, feed.witness_addresses)
-    return age <= _EVIDENCE_S
+    return age <= _MAX_EVIDENCE_AGE_S
