--- a/crocusshunt/bench/_simulation/_fleet.py
+++ b/crocusshunt/bench/_simulation/_fleet.py
@@ -11,7 +11,7 @@
 from crocusshunt.bench._simulation._network import Network, NetworkPeers
 from crocusshunt.bench._simulation._time import LoopClock
 from crocusshunt.controller import Lending, LendingContext
-from crocusshunt.core import HostIdentity, Identifiers
+from crocusshunt.core import HostIdentity, IdentifierGenerator
 from crocusshunt.gateway import Limiter
 from crocusshunt.limits import BorrowSettings
 from crocusshunt.messages import (
@@ -207,7 +207,7 @@
             'controller',
             _LocalRequester(lending),
             clock,
-            Identifiers(self.source),
+            IdentifierGenerator(self.source),
             self.layout.queue,
         )
         handlers = Handlers()
--- a/crocusshunt/configuration/_rows.py
+++ b/crocusshunt/configuration/_rows.py
@@ -5,7 +5,7 @@
 import msgspec
 from result import Err, Result
 
-from crocusshunt.core import Fault, Source, convert_fields
+from crocusshunt.core import Fault, InputSource, convert_fields
 from crocusshunt.routing import Row
 from crocusshunt.schema import find_row_type, is_table, list_tables
 
@@ -45,4 +45,4 @@
     if fields.get('name') != name:
         problem = f"carries the name '{fields.get('name')}'"
         return Err((Fault(place, problem, name),))
-    return convert_fields(Source(place), fields, find_row_type(table))
+    return convert_fields(InputSource(place), fields, find_row_type(table))
--- a/crocusshunt/controller/_service.py
+++ b/crocusshunt/controller/_service.py
@@ -9,7 +9,7 @@
 from crocusshunt.controller._presence import PresenceWatch
 from crocusshunt.controller._settings import ControllerSettings
 from crocusshunt.controller._shifts import ShiftRunner, ShiftSources
-from crocusshunt.core import Clock, Identifiers
+from crocusshunt.core import Clock, IdentifierGenerator
 from crocusshunt.membership import HostTable, MembershipService
 from crocusshunt.messages import (
     FetchChanges,
@@ -97,7 +97,7 @@
         return Lending(
             LendingContext(
                 self._settings.host,
-                Identifiers().create('controller'),
+                IdentifierGenerator().create('controller'),
                 lambda: self.feed.configuration.tables,
                 HostPeers(self.hosts, self._requesters),
                 RelayedTables(RelaySettings(sources), self._requesters),
--- a/crocusshunt/core/__init__.py
+++ b/crocusshunt/core/__init__.py
@@ -7,15 +7,15 @@
     rank_by_rendezvous,
     score_rendezvous,
 )
-from crocusshunt.core._identity import HostIdentity, Identifiers
+from crocusshunt.core._identity import HostIdentity, IdentifierGenerator
 from crocusshunt.core._network import (
     IPAddress,
     IPNetwork,
     parse_address,
     parse_network,
 )
-from crocusshunt.core._sockets import create_watched_socket, watch_socket
-from crocusshunt.core._validation import Source, convert_fields
+from crocusshunt.core._sockets import create_keepalive_socket, enable_keepalive
+from crocusshunt.core._validation import InputSource, convert_fields
 
 __all__ = (
     'Clock',
@@ -24,17 +24,17 @@
     'HostIdentity',
     'IPAddress',
     'IPNetwork',
-    'Identifiers',
+    'IdentifierGenerator',
+    'InputSource',
     'InvalidAddressError',
     'ManualClock',
-    'Source',
     'SystemClock',
     'convert_fields',
-    'create_watched_socket',
+    'create_keepalive_socket',
     'draw_uniform',
+    'enable_keepalive',
     'parse_address',
     'parse_network',
     'rank_by_rendezvous',
     'score_rendezvous',
-    'watch_socket',
 )
--- a/crocusshunt/core/_identity.py
+++ b/crocusshunt/core/_identity.py
@@ -22,10 +22,10 @@
 
 
 @dataclass(slots=True)
-class Identifiers:
+class IdentifierGenerator:
     """Generator of identifiers from an injected source of randomness.
 
-    >>> Identifiers(random.Random(7)).create('req')
+    >>> IdentifierGenerator(random.Random(7)).create('req')
     'req-f2a74de452e6b438'
     """
 
--- a/crocusshunt/core/_sockets.py
+++ b/crocusshunt/core/_sockets.py
@@ -12,7 +12,7 @@
 AddressInfo = tuple[Any, Any, int, str, Any]
 
 
-def watch_socket(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Let a connection break a few seconds after its peer fell silent."""
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
@@ -22,10 +22,10 @@
     sock.setsockopt(tcp, socket.TCP_KEEPCNT, _PROBES)
 
 
-def create_watched_socket(address: AddressInfo) -> socket.socket:
+def create_keepalive_socket(address: AddressInfo) -> socket.socket:
     """Return a new socket for an address, as a factory for connectors."""
     family, kind, protocol, *_rest = address
     sock = socket.socket(family, kind, protocol)
     sock.setblocking(False)
-    watch_socket(sock)
+    enable_keepalive(sock)
     return sock
--- a/crocusshunt/core/_validation.py
+++ b/crocusshunt/core/_validation.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Source:
+class InputSource:
     """Where input comes from and how strictly its types are taken.
 
     :param place: prefix of the places in faults.
@@ -34,7 +34,7 @@
 
 
 def convert_fields(
-    source: Source,
+    source: InputSource,
     values: Mapping[str, Any],
     structure: type[_Structure],
 ) -> Result[_Structure, tuple[Fault, ...]]:
@@ -45,7 +45,7 @@
         constraints.
 
     >>> from crocusshunt.routing import Pool
-    >>> faults = convert_fields(Source('pool'), {}, Pool).unwrap_err()
+    >>> faults = convert_fields(InputSource('pool'), {}, Pool).unwrap_err()
     >>> faults[0].problem
     'missing'
     """
@@ -65,7 +65,7 @@
 
 
 def _find_faults(
-    source: Source,
+    source: InputSource,
     values: Mapping[str, Any],
     structure: type,
     fields: Mapping[str, Any],
@@ -85,7 +85,7 @@
             yield Fault(place, problem, _describe(field.type))
 
 
-def _find_problem(source: Source, given: Any, hint: Any) -> str:
+def _find_problem(source: InputSource, given: Any, hint: Any) -> str:
     try:
         msgspec.convert(given, hint, strict=not source.is_text)
     except msgspec.ValidationError as error:
--- a/crocusshunt/ctl/_changes.py
+++ b/crocusshunt/ctl/_changes.py
@@ -8,7 +8,7 @@
 
 from crocusshunt.client import Snapshot
 from crocusshunt.configuration import EditRequest, encode_row
-from crocusshunt.core import Fault, Source, convert_fields
+from crocusshunt.core import Fault, InputSource, convert_fields
 from crocusshunt.ctl._commands import Context, ExitStatus, register_command
 from crocusshunt.ctl._failures import report_failure, report_faults
 from crocusshunt.ctl._proposals import Edits, change_tables, make_plan
@@ -144,7 +144,7 @@
     held = tables.rows.get(table, {}).get(name)
     known = {} if held is None else write_fields(held)
     fields = {**known, **values, 'name': name}
-    source = Source(f'{table} {name}', is_text=True)
+    source = InputSource(f'{table} {name}', is_text=True)
     row = convert_fields(source, fields, find_row_type(table))
     if isinstance(row, Err):
         return row
--- a/crocusshunt/ctl/_commands.py
+++ b/crocusshunt/ctl/_commands.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from crocusshunt.client import OperatorClient
-from crocusshunt.core import Clock, Identifiers, SystemClock
+from crocusshunt.core import Clock, IdentifierGenerator, SystemClock
 from crocusshunt.ctl._console import Console
 
 Arguments = Mapping[str, Any]
@@ -32,7 +32,9 @@
     """
 
     console: Console
-    identifiers: Identifiers = field(default_factory=Identifiers)
+    identifiers: IdentifierGenerator = field(
+        default_factory=IdentifierGenerator
+    )
     clock: Clock = field(default_factory=SystemClock)
 
 
--- a/crocusshunt/declarations/_directory.py
+++ b/crocusshunt/declarations/_directory.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-from crocusshunt.core import Fault, Source, convert_fields
+from crocusshunt.core import Fault, InputSource, convert_fields
 from crocusshunt.routing import Row, Tables
 from crocusshunt.schema import find_row_type, is_table, list_tables
 from crocusshunt.settings import SettingsError, read_sections
@@ -62,7 +62,7 @@
         allowed = ', '.join(list_tables())
         return Err((Fault(place, 'unknown table', allowed),))
     fields = {**values, 'name': name.strip()}
-    source = Source(place, is_text=True)
+    source = InputSource(place, is_text=True)
     return convert_fields(source, fields, find_row_type(table)).map(
         lambda row: (table, row),
     )
--- a/crocusshunt/demo/tests/terminal.py
+++ b/crocusshunt/demo/tests/terminal.py
@@ -9,7 +9,7 @@
 from docopt import docopt
 from result import Err, Result
 
-from crocusshunt.core import Identifiers, SystemClock
+from crocusshunt.core import IdentifierGenerator, SystemClock
 from crocusshunt.ctl import CommandEnvironment, Console, run_command
 from crocusshunt.demo import Fleet, FleetSettings
 from crocusshunt.programs import ctl
@@ -82,7 +82,7 @@
         self.lines: list[str] = []
         self._fleet = fleet
         self._directory = directory
-        self._identifiers = Identifiers(random.Random(1))
+        self._identifiers = IdentifierGenerator(random.Random(1))
         self._key = directory / 'operator.key'
 
     async def run(self, line: str, answer: str = '') -> None:
--- a/crocusshunt/demo/tests/test_operators.py
+++ b/crocusshunt/demo/tests/test_operators.py
@@ -7,7 +7,7 @@
 import pytest
 from syrupy.assertion import SnapshotAssertion
 
-from crocusshunt.core import Identifiers
+from crocusshunt.core import IdentifierGenerator
 from crocusshunt.demo import Fleet
 from crocusshunt.demo.tests.callers import Callers
 from crocusshunt.demo.tests.terminal import Terminal, forget_change
@@ -205,4 +205,6 @@
 
 
 def _first_id() -> str:
-    return Identifiers(random.Random(1)).create('change').partition('-')[2]
+    return (
+        IdentifierGenerator(random.Random(1)).create('change').partition('-')[2]
+    )
--- a/crocusshunt/gateway/_handling.py
+++ b/crocusshunt/gateway/_handling.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 from result import Err, Result
 
-from crocusshunt.core import Clock, Identifiers
+from crocusshunt.core import Clock, IdentifierGenerator
 from crocusshunt.delivery import (
     Failure,
     NotRun,
@@ -67,7 +67,7 @@
         self,
         parts: RequestParts,
         clock: Clock,
-        identifiers: Identifiers,
+        identifiers: IdentifierGenerator,
     ) -> None:
         """Use the given parts of a gateway."""
         self._parts = parts
--- a/crocusshunt/gateway/_limits.py
+++ b/crocusshunt/gateway/_limits.py
@@ -6,7 +6,7 @@
 
 from result import Err, Ok, Result
 
-from crocusshunt.core import Clock, Identifiers
+from crocusshunt.core import Clock, IdentifierGenerator
 from crocusshunt.gateway._limit_errors import (
     LimitError,
     LimitUnavailableError,
@@ -75,7 +75,7 @@
         controller: str,
         requesters: Requesters,
         clock: Clock,
-        identifiers: Identifiers,
+        identifiers: IdentifierGenerator,
         settings: BorrowSettings | None = None,
     ) -> None:
         """Start without tokens.
--- a/crocusshunt/gateway/_service.py
+++ b/crocusshunt/gateway/_service.py
@@ -6,7 +6,7 @@
 
 from aiohttp import web
 
-from crocusshunt.core import Clock, Identifiers
+from crocusshunt.core import Clock, IdentifierGenerator
 from crocusshunt.delivery import Claimant, Forwarder
 from crocusshunt.gateway._admission import AdmissionControl
 from crocusshunt.gateway._assembly import DispatchContext, create_dispatcher
@@ -70,7 +70,7 @@
         ]
         self._forwarder = Forwarder()
         self.metrics = RequestMetrics(MetricsSettings())
-        identifiers = Identifiers(source)
+        identifiers = IdentifierGenerator(source)
         self._handler = RequestHandler(
             self._create_request_parts(identifiers),
             clock,
@@ -138,7 +138,9 @@
         await self._platform.close()
         self._requesters.close()
 
-    def _create_request_parts(self, identifiers: Identifiers) -> RequestParts:
+    def _create_request_parts(
+        self, identifiers: IdentifierGenerator
+    ) -> RequestParts:
         section = self._settings.gateway
         admission_control = AdmissionControl(self.feed, section.key_evidence_s)
         limiter = Limiter(
--- a/crocusshunt/gateway/tests/site.py
+++ b/crocusshunt/gateway/tests/site.py
@@ -9,7 +9,12 @@
 from result import Ok, Result
 
 from crocusshunt.configuration import Edit, Evidence, encode_row
-from crocusshunt.core import Clock, HostIdentity, Identifiers, SystemClock
+from crocusshunt.core import (
+    Clock,
+    HostIdentity,
+    IdentifierGenerator,
+    SystemClock,
+)
 from crocusshunt.gateway import (
     DeliveryPolicy,
     GatewaySection,
@@ -136,7 +141,7 @@
         policy,
     )
     handler = service._handler
-    identifiers = Identifiers(random.Random(f'{name}-requests'))
+    identifiers = IdentifierGenerator(random.Random(f'{name}-requests'))
     limiter = _UnlimitedLimiter(
         _UNREACHABLE_ADDRESS, RequesterPool(), clock, identifiers
     )
--- a/crocusshunt/platform/_rows.py
+++ b/crocusshunt/platform/_rows.py
@@ -7,7 +7,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from crocusshunt.core import create_watched_socket
+from crocusshunt.core import create_keepalive_socket
 from crocusshunt.feeds import (
     Changes,
     FeedError,
@@ -201,7 +201,7 @@
                 connector=aiohttp.TCPConnector(
                     limit=_MAX_CONNECTIONS,
                     keepalive_timeout=_KEEPALIVE_S,
-                    socket_factory=create_watched_socket,
+                    socket_factory=create_keepalive_socket,
                 ),
                 timeout=aiohttp.ClientTimeout(total=None),
                 cookie_jar=aiohttp.DummyCookieJar(),
--- a/crocusshunt/settings/_reader.py
+++ b/crocusshunt/settings/_reader.py
@@ -10,7 +10,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from crocusshunt.core import CrocusError, Fault, Source, convert_fields
+from crocusshunt.core import CrocusError, Fault, InputSource, convert_fields
 
 _SettingsType = TypeVar('_SettingsType')
 
@@ -74,7 +74,7 @@
     ]
     built: dict[str, Any] = {}
     for name, section_class in hints.items():
-        source = Source(f'{path} [{name}]', is_text=True)
+        source = InputSource(f'{path} [{name}]', is_text=True)
         section = convert_fields(
             source,
             sections.get(name, {}),
--- a/crocusshunt/upstream/_protocol.py
+++ b/crocusshunt/upstream/_protocol.py
@@ -5,7 +5,7 @@
 import socket
 from typing import cast
 
-from crocusshunt.core import watch_socket
+from crocusshunt.core import enable_keepalive
 
 _READ_AHEAD_BYTES = 262_144
 
@@ -40,7 +40,7 @@
         self.transport = cast(asyncio.Transport, transport)
         sock = transport.get_extra_info('socket')
         if sock is not None:
-            watch_socket(sock)
+            enable_keepalive(sock)
 
     def data_received(self, received: bytes) -> None:
         """Buffer bytes for the reader; pause reading if too many wait."""
