--- a/crocusshunt/core/__init__.py
+++ b/crocusshunt/core/__init__.py
@@ -1,4 +1,4 @@
-"""Values, errors, clocks and addresses that every subject builds on."""
+"""Types and functions that all other packages use: clocks, errors, hashing."""
 
 from crocusshunt.core._clock import Clock, ManualClock, SystemClock
 from crocusshunt.core._errors import CrocusError, Fault, InvalidAddressError
--- a/crocusshunt/core/_clock.py
+++ b/crocusshunt/core/_clock.py
@@ -1,4 +1,4 @@
-"""Clocks that decisions take as arguments."""
+"""Clocks, passed as arguments so that tests can control the time."""
 
 import time
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class Clock(Protocol):
-    """Source of time for every decision."""
+    """Interface of the time source that the components use."""
 
     def monotonic(self) -> float:
         """Return seconds that never go back, from an arbitrary origin."""
@@ -16,7 +16,7 @@
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """Clock that reads the operating system's time."""
 
     def monotonic(self) -> float:
         """Return seconds that never go back, from an arbitrary origin."""
@@ -29,7 +29,11 @@
 
 @dataclass
 class ManualClock:
-    """A clock that moves only when told, for tests and golden files.
+    """Clock that moves only by ``advance``, for tests and golden files.
+
+    :param seconds: monotonic time, in seconds.
+    :param epoch: wall time at monotonic time 0, in seconds since the Unix
+        epoch.
 
     >>> clock = ManualClock()
     >>> clock.advance(2.5)
@@ -41,16 +45,16 @@
     epoch: float = 0
 
     def monotonic(self) -> float:
-        """Return the seconds advanced so far."""
+        """Return the initial seconds plus those advanced so far."""
         return self.seconds
 
     def wall(self) -> float:
-        """Return the epoch plus the seconds advanced so far."""
+        """Return ``epoch`` plus the monotonic time, in seconds."""
         return self.epoch + self.seconds
 
     def advance(self, seconds: float) -> None:
         """Move the clock forward.
 
-        :param seconds: how far, in seconds.
+        :param seconds: time to add, in seconds.
         """
         self.seconds += seconds
--- a/crocusshunt/core/_errors.py
+++ b/crocusshunt/core/_errors.py
@@ -1,13 +1,14 @@
-"""Base classes of the failures that the system reports."""
+"""Base classes of the errors that the system reports."""
 
 from dataclasses import dataclass
 from typing import ClassVar
 
 
 class CrocusError(Exception):
-    """A failure with a type, usable as a returned error and as an exception.
+    """Base class of errors, either returned in a ``Result`` or raised.
 
-    Subclasses are data classes; ``code`` is the machine-readable name.
+    Subclasses are data classes; ``code`` is the machine-readable name of the
+    error.
     """
 
     code: ClassVar[str] = 'error'
@@ -17,19 +18,21 @@
         return self.describe()
 
     def describe(self) -> str:
-        """Return one line of English that says what failed."""
+        """Return the error code and the fields, as one line."""
         fields = getattr(self, '__dataclass_fields__', {})
-        shown = ', '.join(f'{name}={getattr(self, name)!r}' for name in fields)
-        return f'{self.code}: {shown}'
+        field_list = ', '.join(
+            f'{name}={getattr(self, name)!r}' for name in fields
+        )
+        return f'{self.code}: {field_list}'
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Fault:
-    """One thing wrong in an operator's input.
+    """One validation error in an operator's input.
 
-    :param place: table and row, or file, section and key.
+    :param place: where the error is: table and row, or file, section and key.
     :param problem: what is wrong there.
-    :param allowed: what would be accepted instead.
+    :param allowed: description of the accepted values; may be empty.
 
     >>> print(Fault('route verify', 'names no pool', 'the name of a pool'))
     route verify: names no pool (allowed: the name of a pool)
@@ -47,7 +50,7 @@
 
 @dataclass(unsafe_hash=True)
 class InvalidAddressError(CrocusError):
-    """A text that is no IP address or network."""
+    """The text is not a valid IP address or network."""
 
     code = 'invalid-address'
 
--- a/crocusshunt/core/_hashing.py
+++ b/crocusshunt/core/_hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing."""
+"""Rendezvous (highest random weight) hashing."""
 
 import math
 from collections.abc import Iterable
@@ -10,13 +10,13 @@
 
 
 def rank_by_rendezvous(key: str, names: Iterable[str]) -> tuple[str, ...]:
-    """Order names by their rendezvous weight for a key, highest first.
+    """Order names by their hash with a key, highest first.
 
-    Removing a name never changes the order of the others, so a host that
-    leaves moves only the keys it held.
+    Removing a name never changes the order of the others, so that only the
+    keys assigned to a removed host move.
 
-    :param key: what is placed.
-    :param names: the candidates.
+    :param key: the key to assign.
+    :param names: the candidates, such as hosts.
 
     >>> rank_by_rendezvous('bar-office', ('h1', 'h2', 'h3'))
     ('h1', 'h3', 'h2')
@@ -27,17 +27,21 @@
     increase hit rates", IEEE/ACM Transactions on Networking 6(1), 1998.
     """
     return tuple(
-        sorted(names, key=lambda name: (_weigh(key, name), name), reverse=True),
+        sorted(
+            names, key=lambda name: (_hash_pair(key, name), name), reverse=True
+        ),
     )
 
 
 def score_rendezvous(key: str, name: str, weight: float) -> float:
     """Return the weighted rendezvous score of a name for a key.
 
-    Over many keys, a name scores highest for a share of them in proportion
-    to its weight; a change of one weight moves only keys to or from it.
+    The score is ``-weight / ln(u)``, where u is the uniform number of the
+    key and the name. Over many keys, a name scores highest for a share of
+    them in proportion to its weight; a change of one weight moves only keys
+    to or from that name.
 
-    :param weight: share of the name relative to the others, above 0.
+    :param weight: weight of the name relative to the others, above 0.
 
     >>> score_rendezvous('7', 's1', 2) == 2 * score_rendezvous('7', 's1', 1)
     True
@@ -50,15 +54,17 @@
 
 
 def draw_uniform(key: str, name: str) -> float:
-    """Return a number in (0, 1) that two texts determine.
+    """Hash a key and a name to a number, uniform in the interval (0, 1).
+
+    The same key and name always give the same number.
 
     >>> draw_uniform('7', 's1') == draw_uniform('7', 's1')
     True
     """
-    drawn = int.from_bytes(_weigh(key, name), 'big')
-    return (drawn + 1) / (_DIGEST_RANGE + 2)
+    number = int.from_bytes(_hash_pair(key, name), 'big')
+    return (number + 1) / (_DIGEST_RANGE + 2)
 
 
-def _weigh(key: str, name: str) -> bytes:
+def _hash_pair(key: str, name: str) -> bytes:
     text = f'{key}\0{name}'.encode()
     return blake2b(text, digest_size=_DIGEST_BYTES).digest()
--- a/crocusshunt/core/_identity.py
+++ b/crocusshunt/core/_identity.py
@@ -1,4 +1,4 @@
-"""Identities of hosts, processes and requests."""
+"""Identity of a host, and random identifiers."""
 
 import random
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class HostIdentity:
-    """Where a process runs, from its settings.
+    """Host that a process runs on, from the settings of the process.
 
     :param name: name of the host, unique in the deployment.
     :param region: region of the host.
@@ -23,7 +23,9 @@
 
 @dataclass(slots=True)
 class IdentifierGenerator:
-    """Generator of identifiers from an injected source of randomness.
+    """Generator of random identifiers.
+
+    :param source: random number generator; tests pass one with a seed.
 
     >>> IdentifierGenerator(random.Random(7)).create('req')
     'req-f2a74de452e6b438'
@@ -32,9 +34,9 @@
     source: random.Random = field(default_factory=random.SystemRandom)
 
     def create(self, prefix: str) -> str:
-        """Return a fresh identifier.
+        """Return a new identifier: the prefix and 64 random bits in hex.
 
-        :param prefix: kind of the thing identified.
+        :param prefix: kind of what is identified, such as ``req``.
         """
         number = self.source.getrandbits(_ID_BITS)
         return f'{prefix}-{number:0{_ID_DIGITS}x}'
--- a/crocusshunt/core/_network.py
+++ b/crocusshunt/core/_network.py
@@ -1,4 +1,4 @@
-"""IP addresses and networks of callers."""
+"""Parsing of IP addresses and networks."""
 
 from ipaddress import (
     IPv4Address,
@@ -20,7 +20,7 @@
 def parse_address(text: str) -> Result[IPAddress, InvalidAddressError]:
     """Parse an IP address; an IPv4-mapped IPv6 address becomes IPv4.
 
-    :param text: the address in its usual notation.
+    :param text: an IPv4 or IPv6 address.
 
     >>> parse_address('::ffff:10.0.0.1').unwrap()
     IPv4Address('10.0.0.1')
--- a/crocusshunt/core/_sockets.py
+++ b/crocusshunt/core/_sockets.py
@@ -1,29 +1,40 @@
-"""Sockets that notice a peer which has gone silent."""
+"""TCP sockets that detect an unresponsive peer."""
 
 import socket
 from typing import Any
 
-# A peer that acknowledges nothing for this long is gone, in milliseconds.
-_UNACKNOWLEDGED_MS = 2500
-_SILENCE_BEFORE_PROBE_S = 2
-_PROBE_INTERVAL_S = 1
-_PROBES = 2
+# Sent data may stay unacknowledged for this long before the kernel closes the
+# connection.
+_USER_TIMEOUT_MS = 2500
+_KEEPALIVE_IDLE_S = 2
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 2
 
 AddressInfo = tuple[Any, Any, int, str, Any]
 
 
 def enable_keepalive(sock: socket.socket) -> None:
-    """Let a connection break a few seconds after its peer fell silent."""
+    """Let the kernel close the connection soon after its peer stops responding.
+
+    With unacknowledged data, the connection is closed after 2.5 s
+    (``TCP_USER_TIMEOUT``). On an idle one, keepalive probes start after 2 s
+    and are repeated each second.
+    """
     tcp = socket.IPPROTO_TCP
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, _SILENCE_BEFORE_PROBE_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, _PROBE_INTERVAL_S)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, _PROBES)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
 
 
 def create_keepalive_socket(address: AddressInfo) -> socket.socket:
-    """Return a new socket for an address, as a factory for connectors."""
+    """Return a non-blocking socket with keepalive enabled.
+
+    Serves as the ``socket_factory`` of an aiohttp connector.
+
+    :param address: an entry of ``getaddrinfo``.
+    """
     family, kind, protocol, *_rest = address
     sock = socket.socket(family, kind, protocol)
     sock.setblocking(False)
--- a/crocusshunt/core/_validation.py
+++ b/crocusshunt/core/_validation.py
@@ -1,4 +1,4 @@
-"""Conversion of untyped input into data classes, with all its faults."""
+"""Conversion of untyped input into data classes; reports every fault."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 _Structure = TypeVar('_Structure')
 _MISSING = object()
-_KIND_NAMES: Mapping[type[msgspec.inspect.Type], str] = {
+_TYPE_NAMES: Mapping[type[msgspec.inspect.Type], str] = {
     msgspec.inspect.IntType: 'a whole number',
     msgspec.inspect.FloatType: 'a number',
     msgspec.inspect.BoolType: 'true or false',
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class InputSource:
-    """Where input comes from and how strictly its types are taken.
+    """Origin of an input, and whether its values are all text.
 
-    :param place: prefix of the places in faults.
-    :param is_text: True where every value is text, as in an INI file; lists
-        are then separated by commas.
+    :param place: origin of the input, as faults show it before a key.
+    :param is_text: whether every value is text, as in an INI file; numbers and
+        booleans are then parsed from text, and lists are separated by commas.
     """
 
     place: str
@@ -38,19 +38,20 @@
     values: Mapping[str, Any],
     structure: type[_Structure],
 ) -> Result[_Structure, tuple[Fault, ...]]:
-    """Return a validated structure, or every fault of its fields.
+    """Convert values to a data class, or return the faults of all fields.
 
+    :param source: origin of the values.
     :param values: values by field name.
-    :param structure: a data class or structure, whose annotations may carry
-        constraints.
+    :param structure: a data class or ``msgspec.Struct``, whose annotations may
+        carry constraints.
 
     >>> from crocusshunt.routing import Pool
     >>> faults = convert_fields(InputSource('pool'), {}, Pool).unwrap_err()
     >>> faults[0].problem
     'missing'
     """
-    described = msgspec.inspect.type_info(structure)
-    fields = {field.name: field for field in _fields_of(described)}
+    type_info = msgspec.inspect.type_info(structure)
+    fields = {field.name: field for field in _list_fields(type_info)}
     if source.is_text:
         values = _split_lists(values, fields)
     faults = tuple(_find_faults(source, values, structure, fields))
@@ -59,8 +60,8 @@
     return Ok(msgspec.convert(values, structure, strict=not source.is_text))
 
 
-def _fields_of(described: msgspec.inspect.Type) -> tuple[Any, ...]:
-    fields: tuple[Any, ...] = getattr(described, 'fields', ())
+def _list_fields(type_info: msgspec.inspect.Type) -> tuple[Any, ...]:
+    fields: tuple[Any, ...] = getattr(type_info, 'fields', ())
     return fields
 
 
@@ -70,26 +71,26 @@
     structure: type,
     fields: Mapping[str, Any],
 ) -> Iterator[Fault]:
-    hints = get_type_hints(structure, include_extras=True)
-    for extra in sorted(set(values) - set(fields)):
-        place = f'{source.place} {extra}'
+    annotations = get_type_hints(structure, include_extras=True)
+    for unknown in sorted(set(values) - set(fields)):
+        place = f'{source.place} {unknown}'
         yield Fault(place, 'unknown key', ', '.join(sorted(fields)))
     for name, field in fields.items():
         place = f'{source.place} {name}'
-        given = values.get(name, _MISSING)
-        if given is _MISSING:
+        value = values.get(name, _MISSING)
+        if value is _MISSING:
             problem = 'missing' if field.required else ''
         else:
-            problem = _find_problem(source, given, hints[name])
+            problem = _find_problem(source, value, annotations[name])
         if problem:
-            yield Fault(place, problem, _describe(field.type))
+            yield Fault(place, problem, _describe_type(field.type))
 
 
-def _find_problem(source: InputSource, given: Any, hint: Any) -> str:
+def _find_problem(source: InputSource, value: Any, annotation: Any) -> str:
     try:
-        msgspec.convert(given, hint, strict=not source.is_text)
+        msgspec.convert(value, annotation, strict=not source.is_text)
     except msgspec.ValidationError as error:
-        return f"value '{given}': {error}"
+        return f"value '{value}': {error}"
     return ''
 
 
@@ -97,33 +98,33 @@
     values: Mapping[str, Any],
     fields: Mapping[str, Any],
 ) -> Mapping[str, Any]:
-    lists = {
+    list_names = {
         name
         for name, field in fields.items()
         if isinstance(field.type, msgspec.inspect.VarTupleType)
     }
     return {
-        name: _split(text) if name in lists else text
+        name: _split_list(text) if name in list_names else text
         for name, text in values.items()
     }
 
 
-def _split(text: str) -> list[str]:
+def _split_list(text: str) -> list[str]:
     return [part.strip() for part in text.split(',') if part.strip()]
 
 
-def _describe(kind: msgspec.inspect.Type) -> str:
-    if isinstance(kind, msgspec.inspect.EnumType):
-        return ', '.join(str(member.value) for member in kind.cls)
-    name = _KIND_NAMES.get(type(kind), 'another type')
+def _describe_type(field_type: msgspec.inspect.Type) -> str:
+    if isinstance(field_type, msgspec.inspect.EnumType):
+        return ', '.join(str(member.value) for member in field_type.cls)
+    name = _TYPE_NAMES.get(type(field_type), 'another type')
     bounds = [
-        f'{sign} {getattr(kind, limit)}'
+        f'{sign} {getattr(field_type, limit)}'
         for limit, sign in (
             ('ge', '>='),
             ('gt', '>'),
             ('le', '<='),
             ('pattern', 'matching'),
         )
-        if getattr(kind, limit, None) is not None
+        if getattr(field_type, limit, None) is not None
     ]
     return ' '.join((name, *bounds))
