--- a/crocusshunt/services/__init__.py
+++ b/crocusshunt/services/__init__.py
@@ -1,6 +1,6 @@
-"""The event loop, its background tasks, and the end by signals."""
+"""Event loop, background tasks, and shutdown on signals."""
 
-from crocusshunt.services._running import create_loop, run_until_signal
+from crocusshunt.services._event_loop import create_loop, run_until_signal
 from crocusshunt.services._tasks import TaskGroup
 
 __all__ = ('TaskGroup', 'create_loop', 'run_until_signal')
--- a/crocusshunt/services/_event_loop.py
+++ b/crocusshunt/services/_event_loop.py
@@ -1,4 +1,4 @@
-"""Event loop without io_uring, and the end of a process by signals."""
+"""Event loop without io_uring, and shutdown on signals."""
 
 import asyncio
 import os
@@ -7,41 +7,42 @@
 
 import uvloop
 
-_IO_URING_SWITCH = 'UV_USE_IO_URING'
+_IO_URING_VARIABLE = 'UV_USE_IO_URING'
 
 Serve = Callable[[asyncio.Event], Awaitable[None]]
 Reload = Callable[[], None]
 
 
 def create_loop() -> asyncio.AbstractEventLoop:
-    """Return an event loop that opens no io_uring.
+    """Return a uvloop event loop that does not use io_uring.
 
-    libuv reads the switch when the first loop of the process is made.
+    libuv reads the environment variable when the first loop of the process is
+    created.
     """
-    os.environ[_IO_URING_SWITCH] = '0'
+    os.environ[_IO_URING_VARIABLE] = '0'
     return uvloop.new_event_loop()
 
 
 def run_until_signal(serve: Serve, reload: Reload | None = None) -> None:
-    """Run a function that serves until its event is set.
+    """Run a service until SIGTERM or SIGINT.
 
-    SIGTERM or SIGINT sets the event; a second signal ends the process at
-    once.
+    The first of these signals sets the event that ``serve`` gets; a second
+    one ends the process at once.
 
-    :param serve: serves, and returns after the event was set.
-    :param reload: called at each SIGHUP; without it SIGHUP ends the process.
+    :param serve: runs the service and returns after the event is set.
+    :param reload: called on each SIGHUP; without it, SIGHUP ends the process.
     """
     with asyncio.Runner(loop_factory=create_loop) as runner:
-        runner.run(_watch(serve, reload))
+        runner.run(_serve_until_signal(serve, reload))
 
 
-async def _watch(serve: Serve, reload: Reload | None) -> None:
+async def _serve_until_signal(serve: Serve, reload: Reload | None) -> None:
     stopping = asyncio.Event()
-    _watch_signals(stopping, reload)
+    _handle_signals(stopping, reload)
     await serve(stopping)
 
 
-def _watch_signals(stopping: asyncio.Event, reload: Reload | None) -> None:
+def _handle_signals(stopping: asyncio.Event, reload: Reload | None) -> None:
     loop = asyncio.get_running_loop()
     if reload is not None:
         loop.add_signal_handler(signal.SIGHUP, reload)
--- a/crocusshunt/services/tests/test_reload.py
+++ b/crocusshunt/services/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP to a running program."""
+"""SIGHUP reloads the settings of a running program and does not end it."""
 
 import asyncio
 import os
@@ -7,7 +7,7 @@
 from crocusshunt.services import run_until_signal
 
 
-def test_hangup_calls_reload_and_the_program_goes_on() -> None:
+def test_sighup_calls_reload_and_the_program_keeps_running() -> None:
     reloads: list[int] = []
 
     async def serve(stopping: asyncio.Event) -> None:
