--- a/crocusshunt/web/_http.py
+++ b/crocusshunt/web/_http.py
@@ -11,17 +11,18 @@
 
 
 class HttpService(Service):
-    """An aiohttp application on one address.
+    """Service that serves an aiohttp application on one address.
 
     :param host: IP address to listen on.
-    :param port: port to listen on, 0 for any free one.
+    :param port: port to listen on; with 0 the system chooses a free port, which
+        is stored here by ``start``.
     """
 
     host: str
     port: int
 
     def __init__(self, host: str, port: int) -> None:
-        """Prepare to listen."""
+        """Store the address; ``start`` opens the socket."""
         super().__init__()
         self.host = host
         self.port = port
@@ -29,15 +30,15 @@
 
     @property
     def url(self) -> str:
-        """Return the base URL once the service has started."""
+        """Return the base URL; valid once the service has started."""
         return f'http://{self.host}:{self.port}'
 
     def create_application(self) -> web.Application:
-        """Return the application that is served."""
+        """Return the application to serve."""
         raise NotImplementedError
 
     async def start(self) -> None:
-        """Listen."""
+        """Start the HTTP server."""
         application = self.create_application()
         self._runner = web.AppRunner(
             application,
@@ -52,7 +53,7 @@
         self.port = self._runner.addresses[0][1]
 
     async def stop(self, exception: Exception | None = None) -> Any:
-        """Close the server."""
+        """Stop the HTTP server."""
         if self._runner is not None:
             await self._runner.cleanup()
 
@@ -62,7 +63,12 @@
     status: int = 200,
     headers: dict[str, str] | None = None,
 ) -> web.Response:
-    """Return a JSON response of any structure or data class."""
+    """Return a response with a JSON body.
+
+    :param body: data class, ``msgspec.Struct`` or other encodable value.
+    :param status: HTTP status code.
+    :param headers: additional response headers.
+    """
     return web.Response(
         body=msgspec.json.encode(body),
         status=status,
--- a/crocusshunt/web/_lifecycle.py
+++ b/crocusshunt/web/_lifecycle.py
@@ -1,4 +1,4 @@
-"""Life of aiomisc services."""
+"""Start and graceful stop of aiomisc services."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
     A second signal ends the process without waiting for the services.
 
-    :param reload: called at each SIGHUP; without it SIGHUP ends the process.
+    :param reload: called on each SIGHUP; without it, SIGHUP ends the process.
     """
 
     async def serve(stopping: asyncio.Event) -> None:
