--- a/crocusshunt/demo/__init__.py
+++ b/crocusshunt/demo/__init__.py
@@ -1,8 +1,12 @@
-"""One whole session on loopback, all roles in one process."""
+"""Demonstration session on loopback, all services in one process."""
 
+from crocusshunt.demo._description import (
+    FleetDocument,
+    SampleRequest,
+    describe_fleet,
+)
 from crocusshunt.demo._fleet import Fleet, FleetSettings
-from crocusshunt.demo._offer import FleetDocument, SampleRequest, describe_fleet
-from crocusshunt.demo._service import await_service
+from crocusshunt.demo._readiness import wait_until_ready
 from crocusshunt.demo._session import Step, run_session
 
 __all__ = (
@@ -11,7 +15,7 @@
     'FleetSettings',
     'SampleRequest',
     'Step',
-    'await_service',
     'describe_fleet',
     'run_session',
+    'wait_until_ready',
 )
--- a/crocusshunt/demo/_offer.py
+++ b/crocusshunt/demo/_description.py
@@ -5,13 +5,15 @@
 from crocusshunt.demo._fleet import Fleet
 from crocusshunt.routing import Access, Customer, Route
 
-_READ = 'GET'
+_GET = 'GET'
 
 
 class SampleRequest(msgspec.Struct, frozen=True):
-    """A request that runs as it stands against a gateway.
+    """A complete request that a client can send unchanged.
 
+    :param customer: owner of the key in the headers, empty on an open route.
     :param url: absolute URL at a gateway.
+    :param idempotent: whether the route's requests may be repeated safely.
     """
 
     customer: str
@@ -23,7 +25,16 @@
 
 
 class FleetDocument(msgspec.Struct, frozen=True):
-    """Base URLs, keys and sample requests of a fleet."""
+    """Base URLs, keys and sample requests of a fleet.
+
+    :param locator: URL of the first host's locator.
+    :param gateways: URLs of all gateways.
+    :param operators: URL of the operators' interface.
+    :param operator_key: key for the operators' interface.
+    :param standin: URL of the platform's stand-in.
+    :param keys: callers' keys by customer name.
+    :param sample_requests: one request per route.
+    """
 
     locator: str
     gateways: tuple[str, ...]
@@ -54,7 +65,7 @@
     customers = fleet.tables.select(Customer)
     customer = customers[position % len(customers)].name
     host = fleet.hosts[position % len(fleet.hosts)]
-    method = route.methods[0] if route.methods else _READ
+    method = route.methods[0] if route.methods else _GET
     is_open = route.access is Access.open
     headers = {} if is_open else {'X-Api-Key': fleet.keys[customer]}
     if not route.idempotent:
@@ -64,6 +75,6 @@
         method=method,
         url=f'{host.gateway.url}{route.path_prefix}/sample',
         headers=headers,
-        body='' if method == _READ else '{"sample":true}',
+        body='' if method == _GET else '{"sample":true}',
         idempotent=route.idempotent,
     )
--- a/crocusshunt/demo/_service.py
+++ b/crocusshunt/demo/_readiness.py
@@ -1,24 +1,29 @@
-"""Wait until a fleet serves what it describes."""
+"""Waits until a fleet serves its sample requests."""
 
 import asyncio
 from urllib.parse import urlsplit
 
 from aiohttp import ClientError, ClientSession
 
-from crocusshunt.demo._offer import FleetDocument, SampleRequest
+from crocusshunt.demo._description import FleetDocument, SampleRequest
 
-_GIVE_UP_S = 30
+_TIMEOUT_S = 30
 _POLL_S = 0.1
 _STATUS_UNAVAILABLE = 503
 
 
-async def await_service(document: FleetDocument) -> None:
-    """Return once every gateway serves the harmless sample requests.
+async def wait_until_ready(document: FleetDocument) -> None:
+    """Wait until every gateway serves the idempotent sample requests.
 
-    :raises TimeoutError: one of them does not within half a minute.
+    A status of 503 or a failed connection counts as not served yet.
+
+    :param document: description of the fleet.
+    :raises TimeoutError: a gateway does not serve a sample within 30 s.
     """
-    samples = [one for one in document.sample_requests if one.idempotent]
-    async with asyncio.timeout(_GIVE_UP_S), ClientSession() as session:
+    samples = [
+        sample for sample in document.sample_requests if sample.idempotent
+    ]
+    async with asyncio.timeout(_TIMEOUT_S), ClientSession() as session:
         for sample in samples:
             path = urlsplit(sample.url).path
             for gateway in document.gateways:
--- a/crocusshunt/programs/__init__.py
+++ b/crocusshunt/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The console programs."""
+"""Command-line programs."""
--- a/crocusshunt/programs/_start.py
+++ b/crocusshunt/programs/_startup.py
@@ -1,4 +1,4 @@
-"""Start of a program: arguments, settings, logs."""
+"""Common startup of the programs: arguments, settings, logs."""
 
 import sys
 from pathlib import Path
@@ -10,7 +10,7 @@
 from crocusshunt.logs import start_logging
 from crocusshunt.settings import read_settings
 
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 
 _SettingsType = TypeVar('_SettingsType')
 
@@ -18,15 +18,16 @@
 def start_program(
     usage: str, settings_class: type[_SettingsType]
 ) -> _SettingsType:
-    """Read the settings file named on the command line, start logging.
+    """Read the settings file named on the command line and start logging.
 
     :param usage: docopt text with the option ``--settings``.
-    :raises SystemExit: the settings are not valid.
+    :param settings_class: type that holds the settings.
+    :raises SystemExit: the settings are invalid.
     """
     arguments = docopt(usage)
     settings = read_settings(Path(arguments['--settings']), settings_class)
     if isinstance(settings, Err):
         print(settings.err_value.describe(), file=sys.stderr)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     start_logging()
     return settings.ok_value
--- a/crocusshunt/programs/api.py
+++ b/crocusshunt/programs/api.py
@@ -1,4 +1,4 @@
-"""Operators' interface and source of changes.
+"""Serves the operators' interface and publishes configuration changes.
 
 Usage:
   crocus-api --settings=FILE
@@ -11,11 +11,11 @@
 
 from crocusshunt.api import ApiService, ApiSettings
 from crocusshunt.core import SystemClock
-from crocusshunt.programs._start import start_program
+from crocusshunt.programs._startup import start_program
 from crocusshunt.web import run_services
 
 
 def main() -> None:
-    """Run until SIGTERM."""
+    """Run the service until SIGTERM or SIGINT."""
     settings = start_program(__doc__ or '', ApiSettings)
     run_services(ApiService(settings, SystemClock()))
--- a/crocusshunt/programs/controller.py
+++ b/crocusshunt/programs/controller.py
@@ -1,4 +1,4 @@
-"""Control process of a host.
+"""Gives the processes of one host their configuration.
 
 Usage:
   crocus-controller --settings=FILE
@@ -11,12 +11,12 @@
 
 from crocusshunt.controller import ControllerService, ControllerSettings
 from crocusshunt.core import SystemClock
-from crocusshunt.programs._start import start_program
+from crocusshunt.programs._startup import start_program
 from crocusshunt.services import run_until_signal
 
 
 def main() -> None:
-    """Run until SIGTERM."""
+    """Run the service until SIGTERM or SIGINT."""
     settings = start_program(__doc__ or '', ControllerSettings)
     service = ControllerService(settings, SystemClock())
     run_until_signal(service.serve)
--- a/crocusshunt/programs/ctl.py
+++ b/crocusshunt/programs/ctl.py
@@ -40,17 +40,17 @@
   --key=FILE          File with the operator's key [default: operator.key].
   --json              Write the outcome as one line of JSON.
   --yes               Do not ask before a dangerous change.
-  --reason=TEXT       Why; kept in the audit trail.
-  --change-id=ID      Repeat the change of this id; it is applied once.
-  --from=REVISION     Refuse if another change came after this revision.
-  --secret-file=FILE  Holds the secret of a granted key; made if missing;
+  --reason=TEXT       Reason of the change; kept in the audit trail.
+  --change-id=ID      Repeat the change with this id; it is applied only once.
+  --from=REVISION     Refuse if the tables changed after this revision.
+  --secret-file=FILE  Holds the secret of a granted key; created if missing;
                       NAME.key if not given.
-  --override          Drain although there is no room for the load.
-  --head=DIGEST       Digest that the trail's last record must have.
+  --override          Drain although the remaining servers lack the capacity.
+  --head=DIGEST       Digest that the audit trail's last record must have.
   --log=FILE          Log of a gateway; several may be given.
-  --tables=DIR        Declares customers' rates, to tell which refusals were
-                      within them.
-  --count=N           How often to show, once a second [default: 1].
+  --tables=DIR        Tables with the customers' rates, to tell which refused
+                      requests were within the rate.
+  --count=N           How many times to show, once a second [default: 1].
   --out=PAGE          HTML file to write.
   --help              Show this text.
 
--- a/crocusshunt/programs/demo.py
+++ b/crocusshunt/programs/demo.py
@@ -1,17 +1,18 @@
-"""Runs one whole session on loopback, all roles in one process.
+"""Runs a demonstration session on loopback, all services in one process.
 
 Usage:
   crocus-demo [--serve] [--deployment=NAME] [--examples=DIR]
   crocus-demo --help
 
 Options:
-  --serve            Keep the fleet up until SIGTERM; the first line of
-                     output describes it as a JSON object, once it serves.
+  --serve            Keep the fleet running until SIGTERM; the first line of
+                     output, printed once the fleet is ready, describes it
+                     as a JSON object.
   --deployment=NAME  abay or trosarina [default: abay].
-  --examples=DIR     Directory of the deployments' declarations.
+  --examples=DIR     Directory with the tables of the deployments.
   --help             Show this text.
 
-Exit status: 0 every step passed, 1 one did not, 2 wrong input.
+Exit status: 0 every step passed, 1 a step failed, 2 wrong input.
 """
 
 import asyncio
@@ -27,16 +28,16 @@
 from crocusshunt.demo import (
     Fleet,
     FleetSettings,
-    await_service,
     describe_fleet,
     run_session,
+    wait_until_ready,
 )
 from crocusshunt.logs import start_logging
 from crocusshunt.services import create_loop
 from crocusshunt.settings import SettingsError
 from crocusshunt.web import run_services
 
-_EXAMPLES = Path(__file__).parents[2] / 'examples'
+_EXAMPLES_DIRECTORY = Path(__file__).parents[2] / 'examples'
 
 
 class _FleetService(Service):
@@ -45,10 +46,10 @@
         self._fleet = fleet
 
     async def start(self) -> None:
-        """Bring the fleet up and describe it."""
+        """Start the fleet, wait until it is ready, print its description."""
         await self._fleet.start()
         document = describe_fleet(self._fleet)
-        await await_service(document)
+        await wait_until_ready(document)
         print(msgspec.json.encode(document).decode(), flush=True)
 
     async def stop(self, exception: Exception | None = None) -> Any:
@@ -57,10 +58,10 @@
 
 
 def main() -> None:
-    """Run the session, or serve until SIGTERM."""
+    """Run the session, or keep the fleet running until SIGTERM."""
     arguments = docopt(__doc__ or '')
     start_logging(logging.WARNING)
-    examples = Path(arguments['--examples'] or _EXAMPLES)
+    examples = Path(arguments['--examples'] or _EXAMPLES_DIRECTORY)
     settings = FleetSettings(examples / arguments['--deployment'])
     try:
         _run(Fleet(settings), is_serving=arguments['--serve'])
@@ -74,10 +75,10 @@
         run_services(_FleetService(fleet))
         return
     with asyncio.Runner(loop_factory=create_loop) as runner:
-        sys.exit(runner.run(_register_step(fleet)))
+        sys.exit(runner.run(_run_steps(fleet)))
 
 
-async def _register_step(fleet: Fleet) -> int:
+async def _run_steps(fleet: Fleet) -> int:
     failed = 0
     try:
         await fleet.start()
--- a/crocusshunt/programs/gateway.py
+++ b/crocusshunt/programs/gateway.py
@@ -1,4 +1,4 @@
-"""Passes callers' requests to backend servers.
+"""Forwards callers' requests to backend servers.
 
 Usage:
   crocus-gateway --settings=FILE
@@ -13,12 +13,12 @@
 
 from crocusshunt.core import SystemClock
 from crocusshunt.gateway import GatewayService, GatewaySettings, MetricsService
-from crocusshunt.programs._start import start_program
+from crocusshunt.programs._startup import start_program
 from crocusshunt.web import run_services
 
 
 def main() -> None:
-    """Run until SIGTERM."""
+    """Run the service until SIGTERM or SIGINT."""
     settings = start_program(__doc__ or '', GatewaySettings)
     gateway = GatewayService(settings, SystemClock(), random.SystemRandom())
     port = settings.gateway.metrics_port
--- a/crocusshunt/programs/host.py
+++ b/crocusshunt/programs/host.py
@@ -30,22 +30,22 @@
 )
 from crocusshunt.web import run_services
 
-_EXIT_SETTINGS = 2
+_EXIT_INVALID_SETTINGS = 2
 
 
 def main() -> None:
-    """Run until SIGTERM."""
+    """Run the service until SIGTERM or SIGINT; SIGHUP reloads the settings."""
     docopt(__doc__ or '')
     start_logging(stream=LineSink(sys.stdout.fileno()))
     path = Path(os.environ.get(SETTINGS_VARIABLE, ''))
     settings = read_front_settings(path)
     if isinstance(settings, Err):
         print(settings.err_value.describe(), file=sys.stderr)
-        sys.exit(_EXIT_SETTINGS)
-    found = settings.ok_value
-    store = RowStoreClient(found.store_address)
+        sys.exit(_EXIT_INVALID_SETTINGS)
+    front_settings = settings.ok_value
+    store = RowStoreClient(front_settings.store_address)
     service = FrontService(
-        found,
+        front_settings,
         SOURCE_FORMAT,
         store,
         partial(read_front_settings, path),
--- a/crocusshunt/programs/locator.py
+++ b/crocusshunt/programs/locator.py
@@ -1,4 +1,4 @@
-"""Tells callers which entry hosts to use.
+"""Tells callers which entry hosts to send their requests to.
 
 Usage:
   crocus-locator --settings=FILE
@@ -11,11 +11,11 @@
 
 from crocusshunt.core import SystemClock
 from crocusshunt.locator import LocatorService, LocatorSettings
-from crocusshunt.programs._start import start_program
+from crocusshunt.programs._startup import start_program
 from crocusshunt.web import run_services
 
 
 def main() -> None:
-    """Run until SIGTERM."""
+    """Run the service until SIGTERM or SIGINT."""
     settings = start_program(__doc__ or '', LocatorSettings)
     run_services(LocatorService(settings, SystemClock()))
--- a/crocusshunt/programs/soak.py
+++ b/crocusshunt/programs/soak.py
@@ -1,4 +1,4 @@
-"""Runs hosts under faults drawn from seeds, and checks the promises.
+"""Runs hosts under random faults and checks the invariants of the system.
 
 Usage:
   crocus-soak [--seed=N] [--seeds=N] [--seconds=S] [--hosts=N] [--servers=N]
@@ -7,18 +7,18 @@
   crocus-soak --help
 
 Options:
-  --seed=N       First seed [default: 1].
-  --seeds=N      How many seeds, one after the other [default: 1].
-  --seconds=S    Length of each, the start not counted [default: 25].
-  --hosts=N      Hosts, each a process [default: 4].
-  --servers=N    Backend servers of a pool [default: 5].
-  --kind=KIND    Only faults of these kinds; all without it.
+  --seed=N       First seed of the random faults [default: 1].
+  --seeds=N      Number of runs, with consecutive seeds [default: 1].
+  --seconds=S    Length of each run, not counting its start [default: 25].
+  --hosts=N      Number of hosts, one process each [default: 4].
+  --servers=N    Backend servers per pool [default: 5].
+  --kind=KIND    Inject only faults of this kind; all kinds if not given.
   --workdir=DIR  Keep settings files and logs of the hosts here.
-  --list         Print the kinds of faults.
+  --list         Print the kinds of faults and exit.
   --help         Show this text.
 
-Each seed prints a JSON line. Exit status: 0 every promise was kept, 1 one was
-broken, 2 wrong input.
+Each run prints its result as a line of JSON. Exit status: 0 every invariant
+held, 1 one was violated, 2 wrong input.
 """
 
 import asyncio
@@ -33,28 +33,28 @@
 from crocusshunt.logs import start_logging
 from crocusshunt.soak import SoakResult, SoakSettings, list_faults, run_soak
 
-_EXIT_BROKEN = 1
-_EXIT_INPUT = 2
+_EXIT_VIOLATED = 1
+_EXIT_WRONG_INPUT = 2
 
 
 def main() -> None:
-    """Run the seeds and print what they found."""
+    """Run once per seed and print the results."""
     arguments = docopt(__doc__ or '')
     if arguments['--list']:
         print('\n'.join(list_faults()))
         return
     start_logging(stream=sys.stderr)
-    settings = _read(arguments)
+    settings = _parse_arguments(arguments)
     unknown = set(settings.kinds) - set(list_faults())
     if unknown:
-        print(f'unknown kinds: {sorted(unknown)}', file=sys.stderr)
-        sys.exit(_EXIT_INPUT)
-    ended = [
+        print(f'unknown kinds of faults: {sorted(unknown)}', file=sys.stderr)
+        sys.exit(_EXIT_WRONG_INPUT)
+    soak_results = [
         _run(msgspec.structs.replace(settings, seed=seed))
         for seed in range(settings.seed, settings.seed + settings.seeds)
     ]
-    if any(one.violations for one in ended):
-        sys.exit(_EXIT_BROKEN)
+    if any(soak_result.violations for soak_result in soak_results):
+        sys.exit(_EXIT_VIOLATED)
 
 
 class _Arguments(msgspec.Struct, frozen=True):
@@ -67,7 +67,7 @@
     workdir: str
 
 
-def _read(arguments: dict[str, Any]) -> _Arguments:
+def _parse_arguments(arguments: dict[str, Any]) -> _Arguments:
     given = {
         'seed': arguments['--seed'],
         'seeds': arguments['--seeds'],
@@ -81,14 +81,14 @@
         return msgspec.convert(given, _Arguments, strict=False)
     except msgspec.ValidationError as error:
         print(error, file=sys.stderr)
-        sys.exit(_EXIT_INPUT)
+        sys.exit(_EXIT_WRONG_INPUT)
 
 
 def _run(arguments: _Arguments) -> SoakResult:
     with tempfile.TemporaryDirectory() as scratch:
         workdir = Path(arguments.workdir or scratch) / str(arguments.seed)
         workdir.mkdir(parents=True, exist_ok=True)
-        ended = asyncio.run(
+        soak_result = asyncio.run(
             run_soak(
                 SoakSettings(
                     seed=arguments.seed,
@@ -100,8 +100,8 @@
                 ),
             ),
         )
-    print(msgspec.json.encode(ended).decode(), flush=True)
-    return ended
+    print(msgspec.json.encode(soak_result).decode(), flush=True)
+    return soak_result
 
 
 if __name__ == '__main__':
--- a/crocusshunt/programs/standin.py
+++ b/crocusshunt/programs/standin.py
@@ -1,4 +1,4 @@
-"""Stand-ins of the platform and of declared backend servers.
+"""Runs stand-ins for the platform and for the declared backend servers.
 
 Usage:
   crocus-standin --settings=FILE
@@ -15,7 +15,7 @@
 from result import Err
 
 from crocusshunt.declarations import read_declarations
-from crocusshunt.programs._start import EXIT_SETTINGS, start_program
+from crocusshunt.programs._startup import EXIT_INVALID_SETTINGS, start_program
 from crocusshunt.routing import Server, Tables
 from crocusshunt.standin import (
     PlatformService,
@@ -26,7 +26,7 @@
 
 
 def main() -> None:
-    """Run until SIGTERM."""
+    """Run the stand-ins until SIGTERM or SIGINT."""
     settings = start_program(__doc__ or '', StandinSettings)
     section = settings.standin
     tables = _read_tables(section.declarations)
@@ -42,5 +42,5 @@
     tables = read_declarations(Path(directory))
     if isinstance(tables, Err):
         print(tables.err_value.describe(), file=sys.stderr)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     return tables.ok_value
--- a/crocusshunt/programs/tests/conftest.py
+++ b/crocusshunt/programs/tests/conftest.py
@@ -6,13 +6,13 @@
 import aiohttp
 import pytest
 
-from crocusshunt.programs.tests.site import Site
+from crocusshunt.programs.tests.deployment import LocalDeployment
 
 
 @pytest.fixture
-async def site(tmp_path: Path) -> AsyncIterator[Site]:
+async def deployment(tmp_path: Path) -> AsyncIterator[LocalDeployment]:
     async with aiohttp.ClientSession() as session:
-        started = Site(tmp_path, session)
+        started = LocalDeployment(tmp_path, session)
         try:
             await started.start_all()
             await started.apply_tables()
--- a/crocusshunt/programs/tests/site.py
+++ b/crocusshunt/programs/tests/deployment.py
@@ -1,4 +1,4 @@
-"""One host's programs and their stand-ins, as separate processes."""
+"""Programs of one host and the stand-ins, run as separate processes."""
 
 import asyncio
 import signal
@@ -33,11 +33,11 @@
 
 PROGRAMS = Path(sys.executable).parent
 CALLER_KEY = 'ck_court_0e'
-GIVE_UP_S = 30
+TIMEOUT_S = 30
 STATUS_OK = 200
 _OPERATOR_KEY = 'ck_bootstrap_0f'
-_HOST = '[host]\nname = h1\nregion = addis\nfailure_domain = addis-a\n'
-_PORTS = (
+_HOST_SECTION = '[host]\nname = h1\nregion = addis\nfailure_domain = addis-a\n'
+_PORT_NAMES = (
     'standin',
     'backend',
     'api',
@@ -48,20 +48,26 @@
     'metrics',
 )
 _POLL_S = 0.02
-_Seen = TypeVar('_Seen')
+_Polled = TypeVar('_Polled')
 
 
 @dataclass(frozen=True)
 class Answer:
-    """Status and JSON document of an answer."""
+    """Status and JSON body of an HTTP response."""
 
     status: int
     document: dict[str, Any]
 
 
 @dataclass
-class Site:
-    """Processes of one host, their ports and their callers."""
+class LocalDeployment:
+    """Programs of one host and the stand-ins, with a client session.
+
+    :param directory: holds the settings files and logs.
+    :param session: HTTP client that acts as the caller.
+    :param ports: TCP ports by the name of their use.
+    :param processes: running processes by program name.
+    """
 
     directory: Path
     session: aiohttp.ClientSession
@@ -69,16 +75,18 @@
     processes: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.ports = dict(zip(_PORTS, _find_ports(len(_PORTS)), strict=True))
+        self.ports = dict(
+            zip(_PORT_NAMES, _find_ports(len(_PORT_NAMES)), strict=True)
+        )
 
-    def url(self, name: str) -> str:
+    def format_url(self, name: str) -> str:
         return f'http://127.0.0.1:{self.ports[name]}'
 
-    def wire(self, name: str) -> str:
+    def format_tcp_address(self, name: str) -> str:
         return f'tcp://127.0.0.1:{self.ports[name]}'
 
     def start(self, name: str) -> None:
-        """Start a program, with its settings as they were before."""
+        """Start a program with its existing settings file."""
         with self.find_log(name).open('ab') as log:
             self.processes[name] = subprocess.Popen(
                 [
@@ -89,7 +97,7 @@
             )
 
     def find_log(self, name: str) -> Path:
-        """Return the file that takes a program's log."""
+        """Return the path of a program's log file."""
         return self.directory / f'{name}.log'
 
     def send_signal(self, name: str, number: signal.Signals) -> None:
@@ -104,35 +112,35 @@
             self.kill(name)
 
     async def start_all(self) -> None:
-        """Start every program and wait until the HTTP ones answer."""
-        for name, sections in self._describe_settings().items():
+        """Start all programs and wait until their HTTP servers respond."""
+        for name, sections in self._create_settings().items():
             path = self.directory / f'{name}.ini'
             path.write_text(sections, encoding='utf-8')
             self.start(name)
         for listening in ('standin', 'api', 'gateway', 'locator'):
             await self.wait_until_up(listening)
-        await self._put_hosts()
+        await self._register_hosts()
 
     async def wait_until_up(self, name: str) -> None:
-        async def ask() -> bool:
+        async def probe() -> bool:
             try:
-                async with self.session.get(self.url(name)):
+                async with self.session.get(self.format_url(name)):
                     return True
             except aiohttp.ClientConnectorError:
                 return False
 
-        await poll(ask, bool)
+        await poll(probe, bool)
 
     async def set_switches(self, switches: PlatformSwitches) -> None:
-        url = f'{self.url("standin")}/standin/switches'
+        url = f'{self.format_url("standin")}/standin/switches'
         body = msgspec.json.encode(switches)
         async with self.session.put(url, data=body) as response:
             assert response.status == STATUS_OK
 
     async def call(self, path: str = '/verify/42') -> Answer:
-        """Send a keyed request to the gateway."""
+        """Send a request with the caller's key to the gateway."""
         headers = {'X-Api-Key': CALLER_KEY}
-        url = self.url('gateway') + path
+        url = self.format_url('gateway') + path
         async with self.session.get(url, headers=headers) as response:
             return Answer(response.status, await response.json())
 
@@ -141,7 +149,7 @@
         predicate: Callable[[Answer], bool],
         path: str = '/verify/42',
     ) -> Answer:
-        """Repeat a keyed request until its answer is as wanted."""
+        """Repeat a request with a key until its response matches."""
         return await poll(lambda: self.call(path), predicate)
 
     async def propose(
@@ -154,7 +162,7 @@
             EditRequest(find_row_table(row), row.name, encode_row(row))
             for row in rows
         )
-        client = OperatorClient(self.url('api'), _OPERATOR_KEY)
+        client = OperatorClient(self.format_url('api'), _OPERATOR_KEY)
         proposal = Proposal(change_id, expected, 'a test', edits)
         outcome = await client.propose(proposal)
         await client.close()
@@ -176,73 +184,76 @@
         )
         assert accepted.unwrap().revision == 1
 
-    async def _put_hosts(self) -> None:
+    async def _register_hosts(self) -> None:
         entry = HostEntry(
             'h1',
             'addis',
             'addis-a',
-            self.url('gateway'),
-            self.wire('control'),
+            self.format_url('gateway'),
+            self.format_tcp_address('control'),
         )
-        url = f'{self.url("standin")}/standin/hosts'
+        url = f'{self.format_url("standin")}/standin/hosts'
         body = msgspec.json.encode((entry,))
         async with self.session.put(url, data=body) as response:
             assert response.status == STATUS_OK
 
-    def _describe_settings(self) -> dict[str, str]:
-        platform = f'[platform]\nurl = {self.url("standin")}\n'
-        control = f'controller = {self.wire("control")}\n'
+    def _create_settings(self) -> dict[str, str]:
+        platform = f'[platform]\nurl = {self.format_url("standin")}\n'
+        control = f'controller = {self.format_tcp_address("control")}\n'
         return {
             'standin': (
-                f'[standin]\n{self._listen("standin")}'
-                f'declarations = {self._declare_backend()}\n'
+                f'[standin]\n{self._format_listener("standin")}'
+                f'declarations = {self._write_declarations()}\n'
             ),
             'api': (
-                f'{_HOST}{platform}[api]\n{self._listen("api")}'
-                f'listen = {self.wire("feed")}\n'
+                f'{_HOST_SECTION}{platform}[api]\n'
+                f'{self._format_listener("api")}'
+                f'listen = {self.format_tcp_address("feed")}\n'
                 f'bootstrap_digest = {digest_key(_OPERATOR_KEY)}\n'
             ),
             'controller': (
-                f'{_HOST}[controller]\nlisten = {self.wire("control")}\n'
-                f'sources = {self.wire("feed")}\n'
+                f'{_HOST_SECTION}[controller]\n'
+                f'listen = {self.format_tcp_address("control")}\n'
+                f'sources = {self.format_tcp_address("feed")}\n'
             ),
             'gateway': (
-                f'{_HOST}{platform}[gateway]\n'
-                f'{self._listen("gateway")}{control}'
+                f'{_HOST_SECTION}{platform}[gateway]\n'
+                f'{self._format_listener("gateway")}{control}'
                 'answer_lifetime_s = 1\n'
                 f'metrics_port = {self.ports["metrics"]}\n'
             ),
             'locator': (
-                f'{_HOST}[locator]\n{self._listen("locator")}{control}'
+                f'{_HOST_SECTION}[locator]\n'
+                f'{self._format_listener("locator")}{control}'
             ),
         }
 
-    def _listen(self, name: str) -> str:
+    def _format_listener(self, name: str) -> str:
         return f'address = 127.0.0.1\nport = {self.ports[name]}\n'
 
-    def _declare_backend(self) -> Path:
-        folder = self.directory / 'tables'
-        folder.mkdir()
-        declared = (
+    def _write_declarations(self) -> Path:
+        directory = self.directory / 'tables'
+        directory.mkdir()
+        declarations = (
             '[pool verify]\n[server s1]\npool = verify\nregion = addis\n'
             'failure_domain = addis-a\nslots = 8\n'
             f'address = 127.0.0.1:{self.ports["backend"]}\n'
         )
-        (folder / 'pools.ini').write_text(declared, encoding='utf-8')
-        return folder
+        (directory / 'pools.ini').write_text(declarations, encoding='utf-8')
+        return directory
 
 
 async def poll(
-    ask: Callable[[], Awaitable[_Seen]],
-    predicate: Callable[[_Seen], bool],
-) -> _Seen:
-    """Ask until what is seen is as wanted; fail after a long wait."""
-    give_up_at = time.monotonic() + GIVE_UP_S
+    probe: Callable[[], Awaitable[_Polled]],
+    predicate: Callable[[_Polled], bool],
+) -> _Polled:
+    """Call a function until its result matches; fail after 30 s."""
+    deadline = time.monotonic() + TIMEOUT_S
     while True:
-        seen = await ask()
-        if predicate(seen):
-            return seen
-        assert time.monotonic() < give_up_at, seen
+        polled = await probe()
+        if predicate(polled):
+            return polled
+        assert time.monotonic() < deadline, polled
         await asyncio.sleep(_POLL_S)
 
 
--- a/crocusshunt/programs/tests/test_demo.py
+++ b/crocusshunt/programs/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration as another program would use it."""
+"""The demonstration in serving mode, as another program uses it."""
 
 import signal
 import subprocess
@@ -9,11 +9,11 @@
 import pytest
 
 from crocusshunt.demo import FleetDocument
-from crocusshunt.programs.tests.site import GIVE_UP_S, PROGRAMS, STATUS_OK
+from crocusshunt.programs.tests.deployment import PROGRAMS, STATUS_OK, TIMEOUT_S
 
 
 @pytest.fixture(params=['abay', 'trosarina'])
-def served(request: pytest.FixtureRequest) -> Iterator[FleetDocument]:
+def fleet_document(request: pytest.FixtureRequest) -> Iterator[FleetDocument]:
     demo = subprocess.Popen(
         [PROGRAMS / 'crocus-demo', '--serve', f'--deployment={request.param}'],
         stdout=subprocess.PIPE,
@@ -22,17 +22,17 @@
     try:
         yield _read_document(demo)
         demo.send_signal(signal.SIGTERM)
-        assert demo.wait(GIVE_UP_S) == 0
+        assert demo.wait(TIMEOUT_S) == 0
     finally:
         demo.kill()
         demo.wait()
 
 
-async def test_sample_requests_run_as_they_stand(
-    served: FleetDocument,
+async def test_sample_requests_succeed_unchanged(
+    fleet_document: FleetDocument,
 ) -> None:
     async with aiohttp.ClientSession() as session:
-        for sample in served.sample_requests:
+        for sample in fleet_document.sample_requests:
             async with session.request(
                 sample.method,
                 sample.url,
@@ -44,15 +44,19 @@
             received = msgspec.json.decode(text)
             assert received['customer'] == sample.customer
             assert received['body'] == sample.body
-            assert not any(key in text for key in served.keys.values())
+            assert not any(key in text for key in fleet_document.keys.values())
 
 
-async def test_switches_of_the_standin_work(served: FleetDocument) -> None:
-    url = f'{served.standin}/standin/switches'
+async def test_standin_switches_take_effect(
+    fleet_document: FleetDocument,
+) -> None:
+    url = f'{fleet_document.standin}/standin/switches'
     async with aiohttp.ClientSession() as session:
         async with session.put(url, json={'is_down': True}) as response:
             assert response.status == STATUS_OK
-        async with session.get(f'{served.standin}/v1/hosts') as response:
+        async with session.get(
+            f'{fleet_document.standin}/v1/hosts'
+        ) as response:
             assert response.status == 503
 
 
