--- a/crocusshunt/demo/_fleet.py
+++ b/crocusshunt/demo/_fleet.py
@@ -1,4 +1,4 @@
-"""All roles and stand-ins of a deployment, as tasks of one process."""
+"""All services and stand-ins of a deployment, as tasks of one process."""
 
 import asyncio
 import random
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """What to bring up.
+    """What a fleet consists of.
 
     :param declarations: directory of the deployment's tables.
     :param seed: seed of the gateways' randomness.
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostServices:
-    """Processes of one entry host."""
+    """Services of one entry host; in production, separate processes."""
 
     identity: HostIdentity
     controller: ControllerService
@@ -55,7 +55,7 @@
     locator: LocatorService
 
     async def stop(self) -> None:
-        """Stop the processes of the host, callers' side first."""
+        """Stop the services that callers reach, then the controller."""
         await self.locator.stop()
         await self.gateway.stop()
         await self.controller.stop()
@@ -63,7 +63,19 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """A running deployment."""
+    """Services and stand-ins of a deployment in one process.
+
+    :param settings: the deployment to run.
+    :param clock: clock of all services.
+    :param platform: stand-in of the platform, which stores the tables.
+    :param operator_key: bootstrap key of the operators' interface.
+    :param runs: counts the requests that the backend servers executed.
+    :param apis: API services, one per failure domain.
+    :param hosts: entry hosts, one per failure domain.
+    :param backends: stand-ins of the backend servers.
+    :param tables: declared tables, with the actual addresses of the services.
+    :param keys: callers' keys by customer name.
+    """
 
     settings: FleetSettings
     clock: Clock = field(default_factory=SystemClock)
@@ -81,15 +93,15 @@
     keys: dict[str, str] = field(default_factory=dict)
 
     async def start(self) -> None:
-        """Start the stand-ins, then the roles, then apply the tables."""
+        """Start the stand-ins, then the services, then apply the tables."""
         await self.platform.start()
         await self._start_backends()
         await self._start_apis()
         await self._start_hosts()
-        await self._apply()
+        await self._apply_tables()
 
     async def stop(self) -> None:
-        """Stop everything, callers' side first."""
+        """Stop the hosts, then the API services, then the stand-ins."""
         await asyncio.gather(*(host.stop() for host in self.hosts))
         for service in (*self.apis, *self.backends, self.platform):
             await service.stop()
@@ -99,16 +111,16 @@
         return OperatorClient(self.apis[0].url, self.operator_key)
 
     async def _start_backends(self) -> None:
-        declared = _unwrap_tables(self.settings.declarations)
+        declared_tables = _read_tables(self.settings.declarations)
         servers: list[Server] = []
-        for server in declared.select(Server):
+        for server in declared_tables.select(Server):
             backend = BackendService(server.name, _LOOPBACK, _ANY_PORT)
             backend.counter = self.runs
             await backend.start()
             self.backends.append(backend)
             address = f'{_LOOPBACK}:{backend.port}'
             servers.append(replace(server, address=address))
-        self.tables = declared.put(*servers)
+        self.tables = declared_tables.put(*servers)
 
     async def _start_apis(self) -> None:
         addresses: dict[str, str] = {}
@@ -135,8 +147,8 @@
             addresses[domain.name] = service.address
         self.tables = self.tables.put(
             *(
-                replace(seat, address=addresses[seat.failure_domain])
-                for seat in self.tables.select(Witness)
+                replace(witness, address=addresses[witness.failure_domain])
+                for witness in self.tables.select(Witness)
             ),
         )
 
@@ -198,21 +210,21 @@
         await locator.start()
         return HostServices(identity, controller, gateway, locator)
 
-    async def _apply(self) -> None:
+    async def _apply_tables(self) -> None:
         rows: list[Key] = []
         for customer in self.tables.select(Customer):
             secret = create_key(customer.name)
             self.keys[customer.name] = secret
             rows.append(Key(customer.name, customer.name, digest_key(secret)))
         edits = compare_tables(Tables(), self.tables, self.tables.rows)
-        granted = tuple(
+        key_edits = tuple(
             EditRequest('key', row.name, encode_row(row)) for row in rows
         )
         client = self.create_client()
-        proposal = Proposal('demo-tables', 0, 'first tables', edits + granted)
+        proposal = Proposal('demo-tables', 0, 'first tables', edits + key_edits)
         accepted = await client.propose(proposal)
         await client.close()
-        accepted.expect('the first tables are accepted')
+        accepted.expect('the API accepts the initial tables')
 
 
 def _create_entry(host: HostServices) -> HostEntry:
@@ -226,7 +238,7 @@
     )
 
 
-def _unwrap_tables(directory: Path) -> Tables:
+def _read_tables(directory: Path) -> Tables:
     tables = read_declarations(directory)
     if isinstance(tables, Err):
         raise tables.err_value
--- a/crocusshunt/demo/_session.py
+++ b/crocusshunt/demo/_session.py
@@ -1,4 +1,4 @@
-"""The session that the demonstration runs."""
+"""Steps of the demonstration session."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -15,27 +15,29 @@
 from crocusshunt.routing import Access, Customer, Route, Server, ServerState
 from crocusshunt.standin import ReceivedRequest
 
-_FORCE_S = 15
-_WITHDRAWAL_S = 5
+_ROLLOUT_TIMEOUT_S = 15
+_WITHDRAWAL_TIMEOUT_S = 5
 _POLL_S = 0.05
 _DRAIN_REQUESTS = 40
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step of the session and what it showed.
+    """Result of one step of the session.
 
-    :param shown: the same text in every run that goes well.
+    :param name: short name of the step.
+    :param detail: what was observed; the same text in every successful run.
+    :param passed: whether the step showed the expected behaviour.
     """
 
     name: str
-    shown: str
+    detail: str
     passed: bool
 
     def describe(self) -> str:
         """Return the line that the demonstration prints."""
-        verdict = 'ok' if self.passed else 'FAILED'
-        return f'{verdict:6} {self.name}: {self.shown}'
+        status = 'ok' if self.passed else 'FAILED'
+        return f'{status:6} {self.name}: {self.detail}'
 
 
 @dataclass(frozen=True, slots=True)
@@ -60,7 +62,7 @@
     def headers(self) -> dict[str, str]:
         return {'X-Api-Key': self.fleet.keys[self.customer]}
 
-    def find_url(self, position: int = 0) -> str:
+    def create_url(self, position: int = 0) -> str:
         gateway = self.fleet.hosts[position].gateway.url
         return f'{gateway}{self.route.path_prefix}/42?page=1'
 
@@ -75,30 +77,33 @@
 
 
 async def run_session(fleet: Fleet) -> AsyncIterator[Step]:
-    """Run every step against a started fleet.
+    """Run every step in order against a started fleet.
 
-    :raises AssertionError: never; a step that went wrong says so.
+    A step that observes wrong behaviour does not raise; it is returned with
+    ``passed`` false.
+
+    :param fleet: the started fleet.
     """
     operators = fleet.create_client()
     async with aiohttp.ClientSession() as callers:
         context = _Context(fleet, callers, operators)
-        for play in _STEPS:
-            yield await play(context)
+        for run_step in _STEPS:
+            yield await run_step(context)
     await operators.close()
 
 
 @_register_step
-async def _spread_tables(context: _Context) -> Step:
-    in_force = await _wait_for(
+async def _wait_for_tables(context: _Context) -> Step:
+    is_in_force = await _wait_for(
         lambda: all(
             host.gateway.feed.configuration.revision > 0
             and host.locator.hosts.hosts
             for host in context.fleet.hosts
         ),
-        _FORCE_S,
+        _ROLLOUT_TIMEOUT_S,
     )
     count = len(context.fleet.hosts)
-    return Step('tables', f'in force on {count} hosts', in_force)
+    return Step('tables', f'in force on {count} hosts', is_in_force)
 
 
 @_register_step
@@ -108,32 +113,32 @@
         answer = await response.json()
     regions = {host['region'] for host in answer['hosts'][:2]}
     domains = {host['failure_domain'] for host in answer['hosts'][:2]}
-    shown = f'nearest region {sorted(regions)}, domains {sorted(domains)}'
-    return Step('locator', shown, len(regions) == 1 and len(domains) == 2)
+    detail = f'nearest region {sorted(regions)}, domains {sorted(domains)}'
+    return Step('locator', detail, len(regions) == 1 and len(domains) == 2)
 
 
 @_register_step
 async def _call_with_key(context: _Context) -> Step:
-    url = context.find_url()
+    url = context.create_url()
     async with context.callers.get(url, headers=context.headers) as response:
         received = msgspec.json.decode(
             await response.read(),
             type=ReceivedRequest,
         )
     key = context.fleet.keys[context.customer]
-    seen = msgspec.json.encode(received).decode()
-    shown = f'backend server saw customer {received.customer} and no key'
-    passed = received.customer == context.customer and key not in seen
-    return Step('keyed request', shown, passed)
+    received_text = msgspec.json.encode(received).decode()
+    detail = f'backend server saw customer {received.customer} and no key'
+    passed = received.customer == context.customer and key not in received_text
+    return Step('keyed request', detail, passed)
 
 
 @_register_step
 async def _call_without_key(context: _Context) -> Step:
-    url = context.find_url()
+    url = context.create_url()
     async with context.callers.get(url) as response:
         problem = await response.json()
-    shown = f'{problem["status"]} {problem["title"]}, {problem["outcome"]}'
-    return Step('no key', shown, problem['outcome'] == 'not_run')
+    detail = f'{problem["status"]} {problem["title"]}, {problem["outcome"]}'
+    return Step('no key', detail, problem['outcome'] == 'not_run')
 
 
 @_register_step
@@ -142,50 +147,57 @@
     servers = context.fleet.tables.select(Server)
     server = next(row for row in servers if row.pool == pool)
     drained = replace(server, state=ServerState.draining)
-    await _change(context, 'drain', 'server', drained)
-    await _wait_for(lambda: _is_everywhere(context, 2), _FORCE_S)
-    answers = [await _read(context) for _ in range(_DRAIN_REQUESTS)]
+    await _apply_change(context, 'drain', 'server', drained)
+    await _wait_for(
+        lambda: _is_in_force_on_all_hosts(context, 2), _ROLLOUT_TIMEOUT_S
+    )
+    answers = [await _send_request(context) for _ in range(_DRAIN_REQUESTS)]
     refused = sum(status != 200 for status, _received in answers)
-    new_work = sum(
+    requests_to_drained = sum(
         received.get('server') == server.name for _status, received in answers
     )
-    shown = f'{refused} refused, {new_work} requests to the drained server'
-    return Step('drain', shown, refused == 0 and new_work == 0)
+    detail = (
+        f'{refused} refused, '
+        f'{requests_to_drained} requests to the drained server'
+    )
+    return Step('drain', detail, refused == 0 and requests_to_drained == 0)
 
 
 @_register_step
 async def _withdraw_key(context: _Context) -> Step:
-    before, _answer = await _read(context)
+    before, _answer = await _send_request(context)
     key = context.fleet.keys[context.customer]
-    held = context.fleet.hosts[0].gateway.feed.configuration.tables
-    row = held.find(Key, context.customer)
+    tables = context.fleet.hosts[0].gateway.feed.configuration.tables
+    row = tables.find(Key, context.customer)
     assert row is not None and key  # noqa: S101, PT018
     withdrawn = replace(row, state=KeyState.withdrawn)
-    await _change(context, 'withdraw', 'key', withdrawn)
-    refused = await _poll(lambda: _is_refused(context), _WITHDRAWAL_S)
-    shown = f'honoured before: {before == 200}; refused within 5 s: {refused}'
-    return Step('key withdrawn', shown, before == 200 and refused)
+    await _apply_change(context, 'withdraw', 'key', withdrawn)
+    refused = await _poll(lambda: _is_refused(context), _WITHDRAWAL_TIMEOUT_S)
+    detail = f'honoured before: {before == 200}; refused within 5 s: {refused}'
+    return Step('key withdrawn', detail, before == 200 and refused)
 
 
-async def _read(context: _Context) -> tuple[int, dict[str, Any]]:
-    url = context.find_url()
+async def _send_request(context: _Context) -> tuple[int, dict[str, Any]]:
+    url = context.create_url()
     async with context.callers.get(url, headers=context.headers) as response:
         return response.status, await response.json()
 
 
 async def _is_refused(context: _Context) -> bool:
-    status, _answer = await _read(context)
+    status, _answer = await _send_request(context)
     return status == 401
 
 
-async def _change(context: _Context, name: str, table: str, row: Any) -> None:
+async def _apply_change(
+    context: _Context, name: str, table: str, row: Any
+) -> None:
     snapshot = (await context.operators.get_snapshot()).unwrap()
     edit = EditRequest(table, row.name, encode_row(row))
     proposal = Proposal(f'demo-{name}', snapshot.revision, name, (edit,))
     (await context.operators.propose(proposal)).unwrap()
 
 
-def _is_everywhere(context: _Context, revision: int) -> bool:
+def _is_in_force_on_all_hosts(context: _Context, revision: int) -> bool:
     return all(
         host.gateway.feed.configuration.revision >= revision
         for host in context.fleet.hosts
@@ -193,10 +205,10 @@
 
 
 async def _wait_for(predicate: Callable[[], bool], seconds: float) -> bool:
-    async def ask() -> bool:
+    async def probe() -> bool:
         return predicate()
 
-    return await _poll(ask, seconds)
+    return await _poll(probe, seconds)
 
 
 async def _poll(
--- a/crocusshunt/demo/tests/__init__.py
+++ b/crocusshunt/demo/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package beside this folder."""
+"""Tests of the parent package."""
--- a/crocusshunt/demo/tests/callers.py
+++ b/crocusshunt/demo/tests/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a fleet, for sessions."""
+"""Callers that send requests through the gateways of a fleet."""
 
 import asyncio
 from collections import Counter
@@ -8,11 +8,14 @@
 from crocusshunt.demo import Fleet
 from crocusshunt.routing import Access, Customer, Route
 
-_PAUSE_S = 0.05
+_POLL_S = 0.05
 
 
 class Callers:
-    """Reads keyed routes through every gateway and counts the outcomes.
+    """Sends GET requests through the gateways and reports their outcomes.
+
+    ``servers`` counts the answered requests by backend server.
+
 
     :param fleet: a started fleet.
     """
@@ -22,23 +25,27 @@
         self._session = aiohttp.ClientSession()
         self.customer = fleet.tables.select(Customer)[0].name
         routes = fleet.tables.select(Route)
-        self.keyed = next(
+        self.keyed_route = next(
             route
             for route in routes
             if route.access is Access.keyed and route.idempotent
         )
-        self.open = next(
+        self.open_route = next(
             route for route in routes if route.access is Access.open
         )
         self.servers: Counter[str] = Counter()
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Close the HTTP session."""
         await self._session.close()
 
     async def call(self, position: int, *, is_open: bool = False) -> str:
-        """Return the outcome of one request through a gateway."""
-        route = self.open if is_open else self.keyed
+        """Send one request through a gateway and return its outcome.
+
+        :param position: index of the gateway's host in the fleet.
+        :param is_open: whether to use a route that needs no key.
+        """
+        route = self.open_route if is_open else self.keyed_route
         key = self._fleet.keys[self.customer]
         headers = {} if is_open else {'X-Api-Key': key}
         base = self._fleet.hosts[position].gateway.url
@@ -52,7 +59,7 @@
             return 'answered'
 
     async def call_all(self, *, is_open: bool = False) -> str:
-        """Return how many gateways gave each outcome."""
+        """Send one request through each gateway and count the outcomes."""
         outcomes = Counter(
             [
                 await self.call(position, is_open=is_open)
@@ -64,10 +71,13 @@
         )
 
     async def call_until(self, outcome: str, seconds: float) -> str:
-        """Repeat until every gateway gives an outcome, or time is over."""
-        wanted = f'{len(self._fleet.hosts)} {outcome}'
-        for _ in range(int(seconds / _PAUSE_S)):
-            if await self.call_all() == wanted:
-                return f'within {seconds:g} s: {wanted}'
-            await asyncio.sleep(_PAUSE_S)
+        """Repeat until all gateways give an outcome, or the time is up.
+
+        :param seconds: time limit in seconds.
+        """
+        expected = f'{len(self._fleet.hosts)} {outcome}'
+        for _ in range(int(seconds / _POLL_S)):
+            if await self.call_all() == expected:
+                return f'within {seconds:g} s: {expected}'
+            await asyncio.sleep(_POLL_S)
         return f'not within {seconds:g} s: {await self.call_all()}'
--- a/crocusshunt/demo/tests/conftest.py
+++ b/crocusshunt/demo/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A started fleet, its callers and an operator's terminal."""
+"""Fixtures: a started fleet, its callers and an operator's terminal."""
 
 from collections.abc import AsyncIterator
 from pathlib import Path
@@ -9,12 +9,12 @@
 from crocusshunt.demo.tests.callers import Callers
 from crocusshunt.demo.tests.terminal import Terminal, create_fleet
 
-_START_S = 15
+_START_TIMEOUT_S = 15
 
 
 @pytest.fixture
 async def fleet(request: pytest.FixtureRequest) -> AsyncIterator[Fleet]:
-    """Start the deployment that the test is parametrised with."""
+    """Start the deployment named by the test parameter."""
     started = create_fleet(request.param)
     try:
         await started.start()
@@ -25,14 +25,14 @@
 
 @pytest.fixture
 async def callers(fleet: Fleet) -> AsyncIterator[Callers]:
-    """Wait until every gateway answers."""
-    calling = Callers(fleet)
-    await calling.call_until('answered', _START_S)
-    yield calling
-    await calling.close()
+    """Return callers, once every gateway answers."""
+    fleet_callers = Callers(fleet)
+    await fleet_callers.call_until('answered', _START_TIMEOUT_S)
+    yield fleet_callers
+    await fleet_callers.close()
 
 
 @pytest.fixture
 def terminal(fleet: Fleet, tmp_path: Path) -> Terminal:
-    """Sit down at a terminal in an empty directory."""
+    """Return a terminal whose working directory is empty."""
     return Terminal(fleet, tmp_path)
--- a/crocusshunt/demo/tests/terminal.py
+++ b/crocusshunt/demo/tests/terminal.py
@@ -1,4 +1,4 @@
-"""An operator's terminal whose lines become a golden file."""
+"""Records an operator's commands and their output, for golden files."""
 
 import io
 import random
@@ -17,9 +17,9 @@
 from crocusshunt.store import StoreError, StoreUnknownOutcomeError, Write
 
 EXAMPLES = Path(__file__).parents[3] / 'examples'
-_CHANGES = 'configuration-change'
-_EPOCH_S = 1_800_000_000.0
-_VOLATILE = (
+_CHANGE_TABLE = 'configuration-change'
+_WALL_TIME_S = 1_800_000_000.0
+_MASKS = (
     (re.compile('[0-9a-f]{64}'), '<digest>'),
     (re.compile(r'read \d+\.\d s ago'), 'read <age> ago'),
     (re.compile(r'127\.0\.0\.1:\d+'), '<address>'),
@@ -27,54 +27,55 @@
 
 
 class SessionClock(SystemClock):
-    """Monotonic time of the machine at one fixed time of day."""
+    """System clock whose wall time is fixed."""
 
     def wall(self) -> float:
         """Return the fixed time."""
-        return _EPOCH_S
+        return _WALL_TIME_S
 
 
-class ForgetfulPlatform(MemoryPlatform):
-    """Loses the answer to one change, and is down from then on.
+class ResponseLosingPlatform(MemoryPlatform):
+    """Platform that loses the response to one change, then is unavailable.
 
-    Other writers use the store too, so its switch of lost answers would meet
-    whoever writes first.
+    ``PlatformSwitches.lost_answers`` is not used here: other writers use the
+    store too, and it would affect whichever of them writes first.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.forgets_change = False
+        self.loses_change_response = False
 
     async def transact(
         self, writes: tuple[Write, ...]
     ) -> Result[None, StoreError]:
-        """Do all writes; stay silent from a lost answer on."""
+        """Write all rows; if set, lose the response to a change and go down."""
         tables = {write.table for write in writes}
         written = await super().transact(writes)
-        if not self.forgets_change or _CHANGES not in tables:
+        if not self.loses_change_response or _CHANGE_TABLE not in tables:
             return written
-        self.forgets_change = False
+        self.loses_change_response = False
         self.switches.is_down = True
         return Err(StoreUnknownOutcomeError('answer lost'))
 
 
 def create_fleet(deployment: str) -> Fleet:
-    """Return a fleet that has not started."""
+    """Return a fleet that is not started yet."""
     fleet = Fleet(FleetSettings(EXAMPLES / deployment), SessionClock())
-    fleet.platform.platform = ForgetfulPlatform()
+    fleet.platform.platform = ResponseLosingPlatform()
     return fleet
 
 
-def forget_change(fleet: Fleet) -> None:
-    """Lose the answer to the next change."""
+def lose_change_response(fleet: Fleet) -> None:
+    """Make the store lose the response to the next change."""
     platform = fleet.platform.platform
-    assert isinstance(platform, ForgetfulPlatform)
-    platform.forgets_change = True
+    assert isinstance(platform, ResponseLosingPlatform)
+    platform.loses_change_response = True
 
 
 class Terminal:
-    """Runs commands against a fleet and keeps what they show.
+    """Runs crocusctl commands against a fleet and records their output.
 
+    :param fleet: a started fleet.
     :param directory: the operator's working directory.
     """
 
@@ -86,7 +87,12 @@
         self._key = directory / 'operator.key'
 
     async def run(self, line: str, answer: str = '') -> None:
-        """Run a command line, with an answer if somebody is there."""
+        """Run a command and record it with its output and exit status.
+
+        :param line: arguments; ``@`` stands for the working directory.
+        :param answer: reply to the confirmation prompt; if empty, the terminal
+            is not interactive.
+        """
         self._key.write_text(self._fleet.operator_key, encoding='utf-8')
         output = io.StringIO()
         console = Console(
@@ -96,26 +102,28 @@
             is_interactive=bool(answer),
         )
         status = await run_command(
-            docopt(ctl.__doc__, self._split(line)),
+            docopt(ctl.__doc__, self._parse(line)),
             CommandEnvironment(console, self._identifiers),
         )
-        self.say(f'$ crocusctl {line}\n{output.getvalue()}exit status {status}')
+        self.record(
+            f'$ crocusctl {line}\n{output.getvalue()}exit status {status}'
+        )
 
     async def run_all(self, *lines: str) -> None:
-        """Run command lines with nobody there to answer."""
+        """Run commands without an interactive terminal."""
         for line in lines:
             await self.run(line)
 
-    def say(self, text: str) -> None:
-        """Keep a line of the session."""
+    def record(self, text: str) -> None:
+        """Record text, with values that vary between runs masked."""
         text = text.replace(f'{self._directory}/', '')
-        for pattern, name in _VOLATILE:
+        for pattern, name in _MASKS:
             text = pattern.sub(name, text)
         self.lines.append(text)
 
-    def _split(self, line: str) -> list[str]:
+    def _parse(self, line: str) -> list[str]:
         words = line.replace('@', f'{self._directory}/')
-        given = shlex.split(words)
+        arguments = shlex.split(words)
         if '--key=' not in line:
-            given.append(f'--key={self._key}')
-        return [f'--api={self._fleet.apis[0].url}', *given]
+            arguments.append(f'--key={self._key}')
+        return [f'--api={self._fleet.apis[0].url}', *arguments]
--- a/crocusshunt/demo/tests/test_failures.py
+++ b/crocusshunt/demo/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Golden files of sessions in which parts of the fleet fail."""
+"""Golden files of sessions in which a part of the fleet fails."""
 
 import aiohttp
 import pytest
@@ -36,7 +36,7 @@
         return f'{problem["status"]} {problem["title"]}, {problem["outcome"]}'
 
 
-async def _lose_region(fleet: Fleet, region: str) -> None:
+async def _stop_region(fleet: Fleet, region: str) -> None:
     hosts = [host for host in fleet.hosts if host.identity.region == region]
     for host in hosts:
         fleet.hosts.remove(host)
@@ -66,12 +66,12 @@
         backend.switches = BackendSwitches(poison=_POISON)
     for position, _host in enumerate(fleet.hosts):
         outcome = await _post(fleet, position, _POISON)
-        terminal.say(f'the request through host {position}: {outcome}')
-    # A server that came back may be chosen again; the sum is what is bounded.
+        terminal.record(f'the request through host {position}: {outcome}')
+    # A restarted server may be chosen again, so only the total is bounded.
     crashes = sum(server.crashes for server in fleet.backends)
-    terminal.say(f'crashes of backend servers: {crashes}')
+    terminal.record(f'crashes of backend servers: {crashes}')
     other = await _post(fleet, 0, 'harmless')
-    terminal.say(f'another request of the customer: {other}')
+    terminal.record(f'another request of the customer: {other}')
     assert '\n'.join(terminal.lines) == snapshot
 
 
@@ -84,9 +84,9 @@
 ) -> None:
     lost = 'dire'
     assert fleet.hosts[0].identity.region != lost
-    await _lose_region(fleet, lost)
-    terminal.say(f'{lost} lost, {len(fleet.hosts)} hosts left')
-    terminal.say(await callers.call_until('answered', _RECOVERY_S))
+    await _stop_region(fleet, lost)
+    terminal.record(f'{lost} lost, {len(fleet.hosts)} hosts left')
+    terminal.record(await callers.call_until('answered', _RECOVERY_S))
     await terminal.run(f'edit customer {callers.customer} rate=80 --reason=up')
-    terminal.say(f'callers: {await callers.call_all()}')
+    terminal.record(f'callers: {await callers.call_all()}')
     assert '\n'.join(terminal.lines) == snapshot
--- a/crocusshunt/demo/tests/test_operators.py
+++ b/crocusshunt/demo/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Golden files of operators' sessions, all roles in one process."""
+"""Golden files of operators' sessions, all services in one process."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 from crocusshunt.core import IdentifierGenerator
 from crocusshunt.demo import Fleet
 from crocusshunt.demo.tests.callers import Callers
-from crocusshunt.demo.tests.terminal import Terminal, forget_change
+from crocusshunt.demo.tests.terminal import Terminal, lose_change_response
 from crocusshunt.routing import Server
 
 _WITHDRAWAL_S = 5
@@ -18,8 +18,8 @@
 _RECOVERY_S = 15
 _OUTAGE_S = 5
 _ROUNDS = 8
-_PAUSE_S = 0.2
-_BOTH = pytest.mark.parametrize(
+_POLL_S = 0.2
+_BOTH_DEPLOYMENTS = pytest.mark.parametrize(
     'fleet',
     ['abay', 'trosarina'],
     indirect=True,
@@ -28,8 +28,8 @@
 _ABAY = pytest.mark.parametrize('fleet', ['abay'], indirect=True)
 
 
-@_BOTH
-async def test_ordinary_day(
+@_BOTH_DEPLOYMENTS
+async def test_routine_commands(
     callers: Callers,
     terminal: Terminal,
     tmp_path: Path,
@@ -55,11 +55,11 @@
         'audit export @trail',
         'audit verify @trail',
     )
-    terminal.say(f'callers: {await callers.call_all()}')
+    terminal.record(f'callers: {await callers.call_all()}')
     assert '\n'.join(terminal.lines) == snapshot
 
 
-@_BOTH
+@_BOTH_DEPLOYMENTS
 async def test_key_withdrawn_under_load(
     callers: Callers,
     terminal: Terminal,
@@ -71,7 +71,7 @@
     await asyncio.sleep(0)
     await terminal.run(f'key withdraw {callers.customer} --reason=lost --yes')
     refused = await asyncio.wait_for(load, _WITHDRAWAL_S)
-    terminal.say(f'callers: {refused}')
+    terminal.record(f'callers: {refused}')
     for _ in range(_ROUNDS):
         assert await callers.call_all() == '6 401 key withdrawn, not_run'
     assert '\n'.join(terminal.lines) == snapshot
@@ -92,18 +92,18 @@
 
 
 @_ABAY
-async def test_lost_answer(
+async def test_lost_store_response(
     fleet: Fleet,
     callers: Callers,
     terminal: Terminal,
     snapshot: SnapshotAssertion,
 ) -> None:
     command = f'edit customer {callers.customer} rate=80 --reason=raise'
-    forget_change(fleet)
+    lose_change_response(fleet)
     await terminal.run(command)
     fleet.platform.platform.switches.is_down = False
     await _wait_for_store(fleet)
-    repeated = f'{command} --change-id=change-{_first_id()} --from=1'
+    repeated = f'{command} --change-id=change-{_create_first_id()} --from=1'
     await terminal.run(repeated)
     await terminal.run(repeated.replace('=raise', '=other'))
     await terminal.run('history')
@@ -120,14 +120,14 @@
     server = next(
         row.name
         for row in fleet.tables.select(Server)
-        if row.pool == callers.keyed.pool
+        if row.pool == callers.keyed_route.pool
     )
     await terminal.run(f'drain {server} --reason="new disk"', 'yes')
     await asyncio.sleep(_DRAIN_S)
     callers.servers.clear()
     for _ in range(_ROUNDS):
         assert await callers.call_all() == '6 answered'
-    terminal.say(f'new work of {server}: {callers.servers[server]}')
+    terminal.record(f'new work of {server}: {callers.servers[server]}')
     await terminal.run('drain nosuch --reason="new disk"')
     await terminal.run(f'undrain {server} --reason="disk is in" --yes')
     assert '\n'.join(terminal.lines) == snapshot
@@ -145,12 +145,14 @@
     switches.is_down = True
     await terminal.run(command)
     await asyncio.sleep(_OUTAGE_S)
-    terminal.say(f'open route: {await callers.call_all(is_open=True)}')
-    terminal.say(f'keyed route: {await callers.call_all()}')
+    terminal.record(f'open route: {await callers.call_all(is_open=True)}')
+    terminal.record(f'keyed route: {await callers.call_all()}')
     switches.is_down = False
-    terminal.say(await callers.call_until('answered', _RECOVERY_S))
+    terminal.record(await callers.call_until('answered', _RECOVERY_S))
     await _wait_for_store(fleet)
-    await terminal.run(f'{command} --change-id=change-{_first_id()} --from=1')
+    await terminal.run(
+        f'{command} --change-id=change-{_create_first_id()} --from=1'
+    )
     await terminal.run('history')
     assert '\n'.join(terminal.lines) == snapshot
 
@@ -171,7 +173,7 @@
     await terminal.run('drain region osijek --reason=power', 'yes')
     await terminal.run('undrain region osijek --reason=power', 'yes')
     await terminal.run('undrain region osijek --reason=power', 'yes')
-    terminal.say(f'callers: {await callers.call_all()}')
+    terminal.record(f'callers: {await callers.call_all()}')
     assert '\n'.join(terminal.lines) == snapshot
 
 
@@ -196,15 +198,15 @@
 
 
 async def _wait_for_store(fleet: Fleet) -> None:
-    """Wait until the interface has seen that the store is back."""
+    """Wait until the operators' interface can read the store again."""
     client = fleet.create_client()
     async with asyncio.timeout(_RECOVERY_S):
         while (await client.list_changes(0)).is_err():
-            await asyncio.sleep(_PAUSE_S)
+            await asyncio.sleep(_POLL_S)
     await client.close()
 
 
-def _first_id() -> str:
+def _create_first_id() -> str:
     return (
         IdentifierGenerator(random.Random(1)).create('change').partition('-')[2]
     )
--- a/crocusshunt/demo/tests/test_session.py
+++ b/crocusshunt/demo/tests/test_session.py
@@ -1,4 +1,4 @@
-"""Golden files of the demonstration's session."""
+"""Golden files of the demonstration session."""
 
 from pathlib import Path
 
