--- a/crocusshunt/relay/_client.py
+++ b/crocusshunt/relay/_client.py
@@ -98,9 +98,7 @@
                 if isinstance(body, StoredRows):
                     return Ok(body.rows)
             self._source_index += 1
-        return Err(
-            StoreUnavailableError('none of the sources returned the rows')
-        )
+        return Err(StoreUnavailableError('no source gave the rows'))
 
     async def _send(self, request: Body) -> Result[Body, TransportError]:
         sources = self._settings.sources
