--- a/crocusshunt/bench/_regions.py
+++ b/crocusshunt/bench/_regions.py
@@ -96,7 +96,7 @@
     }
 
 
-def lose_servers(policy: Policy) -> Outcome:
+def simulate_server_loss(policy: Policy) -> Outcome:
     """Lose most of a region's servers under lagging measurements."""
     outcome = Outcome()
     load: Mapping[str, float] = dict.fromkeys(REGIONS, _OFFERED)
--- a/crocusshunt/bench/_simulation/__init__.py
+++ b/crocusshunt/bench/_simulation/__init__.py
@@ -9,7 +9,7 @@
     Load,
     Tally,
     create_arrivals,
-    drive,
+    send_requests,
 )
 
 __all__ = (
@@ -23,6 +23,6 @@
     'Tally',
     'count_overshoot',
     'create_arrivals',
-    'drive',
+    'send_requests',
     'simulate',
 )
--- a/crocusshunt/bench/_simulation/_fleet.py
+++ b/crocusshunt/bench/_simulation/_fleet.py
@@ -225,7 +225,7 @@
         for task in host.tasks:
             task.cancel()
 
-    def forget(self, name: str) -> None:
+    def remove_from_peers(self, name: str) -> None:
         """Let every host learn that a host is gone."""
         for host in self.hosts.values():
             host.peers.domains.pop(name, None)
--- a/crocusshunt/bench/_simulation/_network.py
+++ b/crocusshunt/bench/_simulation/_network.py
@@ -50,7 +50,7 @@
         """
         self.faults = Faults()
         self.handlers: dict[str, Handlers] = {}
-        self.groups: dict[str, int] = {}
+        self.partitions: dict[str, int] = {}
         self.paused: dict[str, asyncio.Event] = {}
         self.sent: Counter[str] = Counter()
         self.sent_bytes: Counter[str] = Counter()
@@ -120,7 +120,7 @@
             return
         self.sent[type(body).__name__] += 1
         self.sent_bytes[sender] += len(self._codec.encode(body))
-        is_cut = self.groups.get(sender, 0) != self.groups.get(host, 0)
+        is_cut = self.partitions.get(sender, 0) != self.partitions.get(host, 0)
         if is_cut or self._source.random() < self.faults.loss:
             await asyncio.Event().wait()
         extra = self._source.random() * self.faults.jitter_s
--- a/crocusshunt/bench/_simulation/_traffic.py
+++ b/crocusshunt/bench/_simulation/_traffic.py
@@ -75,7 +75,7 @@
         arrivals.append(Arrival(now, host))
 
 
-async def drive(
+async def send_requests(
     fleet: LimitFleet,
     customer: str,
     arrivals: tuple[Arrival, ...],
--- a/crocusshunt/bench/limits.py
+++ b/crocusshunt/bench/limits.py
@@ -17,7 +17,7 @@
     Tally,
     count_overshoot,
     create_arrivals,
-    drive,
+    send_requests,
     simulate,
 )
 from crocusshunt.core import ManualClock
@@ -75,7 +75,7 @@
     lenders = fleet.find_lenders(find_shard('cellar'))
     fleet.kill(lenders[0])
     await asyncio.sleep(2)
-    fleet.forget(lenders[0])
+    fleet.remove_from_peers(lenders[0])
 
 
 async def _stop_store(fleet: LimitFleet) -> None:
@@ -246,7 +246,7 @@
     fleet.start()
     acting = asyncio.create_task(trial.act(fleet)) if trial.act else None
     tallies = await asyncio.gather(
-        *(drive(fleet, name, sent) for name, sent in arrivals.items()),
+        *(send_requests(fleet, name, sent) for name, sent in arrivals.items()),
     )
     if acting is not None:
         await acting
--- a/crocusshunt/bench/steering.py
+++ b/crocusshunt/bench/steering.py
@@ -16,7 +16,7 @@
 )
 from crocusshunt.bench._regions import (
     DampedPolicy,
-    lose_servers,
+    simulate_server_loss,
     split_in_proportion,
 )
 from crocusshunt.drains import DrainBounds
@@ -64,8 +64,8 @@
 
 
 def _measure_decisions() -> Iterator[Measurement]:
-    damped = lose_servers(DampedPolicy())
-    plain = lose_servers(split_in_proportion)
+    damped = simulate_server_loss(DampedPolicy())
+    plain = simulate_server_loss(split_in_proportion)
     excess = max(measure_shift_excess(_SEED), measure_link_excess(_SEED))
     figures = (
         ('steer.cap_excess', excess, 'share or Mbit/s', 0, None),
--- a/crocusshunt/controller/tests/test_lending.py
+++ b/crocusshunt/controller/tests/test_lending.py
@@ -16,7 +16,7 @@
     Tally,
     count_overshoot,
     create_arrivals,
-    drive,
+    send_requests,
     simulate,
 )
 from crocusshunt.limits import find_shard
@@ -74,7 +74,7 @@
     holder = _find_lender(fleet)
     fleet.pause(holder)
     await asyncio.sleep(3)
-    fleet.forget(holder)
+    fleet.remove_from_peers(holder)
     await asyncio.sleep(7)
     fleet.resume(holder)
 
@@ -84,7 +84,7 @@
     holder = _find_lender(fleet)
     fleet.kill(holder)
     await asyncio.sleep(2)
-    fleet.forget(holder)
+    fleet.remove_from_peers(holder)
 
 
 @_register
@@ -99,7 +99,7 @@
 async def stop_holder(fleet: LimitFleet) -> None:
     holder = _find_lender(fleet)
     await fleet.hosts[holder].lending.loans.leave()
-    fleet.forget(holder)
+    fleet.remove_from_peers(holder)
     if holder in fleet.hosts:
         fleet.kill(holder)
 
@@ -111,14 +111,14 @@
     cut = {
         one for one in fleet.hosts if fleet.layout.find_region(one) == region
     }
-    fleet.network.groups = dict.fromkeys(cut, 1)
+    fleet.network.partitions = dict.fromkeys(cut, 1)
     await asyncio.sleep(3)
     for name, host in fleet.hosts.items():
         gone = set(fleet.hosts) - cut if name in cut else cut
         for one in gone:
             host.peers.domains.pop(one, None)
     await asyncio.sleep(10)
-    fleet.network.groups = {}
+    fleet.network.partitions = {}
 
 
 @_register
@@ -141,7 +141,9 @@
         fleet = LimitFleet(Layout(hosts=_HOSTS), (_CUSTOMER,), seed)
         fleet.start(_DRIFT)
         watching = asyncio.create_task(_watch(fleet, load.duration_s))
-        driving = asyncio.create_task(drive(fleet, load.customer, arrivals))
+        driving = asyncio.create_task(
+            send_requests(fleet, load.customer, arrivals)
+        )
         await asyncio.sleep(_FAULT_AT_S)
         for fault in faults:
             acting = asyncio.create_task(fault(fleet))
@@ -204,7 +206,7 @@
         fleet.pause(holder)
         await asyncio.sleep(6)
         lapsed = fleet.find_lenders(_SHARD)
-        fleet.forget(holder)
+        fleet.remove_from_peers(holder)
         await asyncio.sleep(8)
         fleet.resume(holder)
         followers = fleet.find_lenders(_SHARD)
