--- a/crocusshunt/bench/_simulation/__init__.py
+++ b/crocusshunt/bench/_simulation/__init__.py
@@ -1,6 +1,6 @@
-"""Hosts, messages and time within one process, for benchmarks and tests."""
+"""Simulation of hosts, network and time in one process."""
 
-from crocusshunt.bench._simulation._audit import count_overshoot
+from crocusshunt.bench._simulation._overshoot import count_overshoot
 from crocusshunt.bench._simulation._fleet import Layout, LimitFleet
 from crocusshunt.bench._simulation._network import Faults, Network
 from crocusshunt.bench._simulation._time import LoopClock, simulate
--- a/crocusshunt/bench/_simulation/_fleet.py
+++ b/crocusshunt/bench/_simulation/_fleet.py
@@ -1,4 +1,4 @@
-"""Simulated hosts that run the product's controllers and limiters."""
+"""Simulated hosts that run the production controllers and limiters."""
 
 import asyncio
 import random
@@ -35,16 +35,18 @@
 _LOCAL_DELAY_S = 0.0005
 _STORE_TIMEOUT_S = 3
 
-_Found = TypeVar('_Found')
+_Answer = TypeVar('_Answer')
 
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """Hosts and distances.
+    """Number and placement of the hosts, and the delays between them.
 
-    :param regions: names of regions, hosts are dealt out to them.
-    :param region_delay_s: one way between two regions, in seconds.
-    :param domain_delay_s: one way within a region, in seconds.
+    :param hosts: number of hosts, named `h0`, `h1` and so on.
+    :param regions: names of the regions; hosts are assigned round-robin.
+    :param region_delay_s: one-way delay between two regions, in seconds.
+    :param domain_delay_s: one-way delay within a region, in seconds.
+    :param queue: settings with which the limiters borrow tokens.
     """
 
     hosts: int = 10
@@ -62,15 +64,15 @@
         half = int(host[1:]) // len(self.regions) % 2
         return f'{self.find_region(host)}-{half}'
 
-    def measure_delay(self, sender: str, host: str) -> float:
-        """Return the delay one way between two hosts, in seconds."""
+    def find_delay(self, sender: str, host: str) -> float:
+        """Return the one-way delay between two hosts, in seconds."""
         if self.find_region(sender) == self.find_region(host):
             return self.domain_delay_s
         return self.region_delay_s
 
 
-class _PausedTables:
-    """The table service as a host that may be paused sees it."""
+class _PausableTables:
+    """A host's access to the table service; blocks while the host is paused."""
 
     def __init__(self, host: str, fleet: 'LimitFleet') -> None:
         self._host = host
@@ -81,47 +83,51 @@
         table: str,
         key: str,
     ) -> Result[StoredRow | None, StoreError]:
-        """Return a row, None where it is absent."""
+        """Return a row, or None if it does not exist."""
         return await self._call(lambda: self._fleet.platform.read(table, key))
 
     async def query(
         self,
         query: Query,
     ) -> Result[tuple[StoredRow, ...], StoreError]:
-        """Return the rows of a range."""
+        """Return the rows that a query selects."""
         return await self._call(lambda: self._fleet.platform.query(query))
 
     async def transact(
         self,
         writes: tuple[Write, ...],
     ) -> Result[None, StoreError]:
-        """Do all writes or none."""
+        """Apply all writes atomically, or none."""
         return await self._call(lambda: self._fleet.platform.transact(writes))
 
     async def _call(
         self,
-        call: Callable[[], Coroutine[Any, Any, Result[_Found, StoreError]]],
-    ) -> Result[_Found, StoreError]:
+        call: Callable[[], Coroutine[Any, Any, Result[_Answer, StoreError]]],
+    ) -> Result[_Answer, StoreError]:
         network = self._fleet.network
         await network.wait_while_paused(self._host)
         running = asyncio.ensure_future(call())
         try:
             async with asyncio.timeout(_STORE_TIMEOUT_S):
-                found = await asyncio.shield(running)
+                answer = await asyncio.shield(running)
         except TimeoutError:
-            return Err(StoreUnknownOutcomeError('no answer in time'))
+            return Err(
+                StoreUnknownOutcomeError(
+                    'no answer from the store within the timeout'
+                )
+            )
         await network.wait_while_paused(self._host)
-        return found
+        return answer
 
 
 class _LocalRequester:
-    """The way from a gateway to its controller."""
+    """Connects a gateway to the controller on the same host."""
 
     def __init__(self, lending: Lending) -> None:
         self._lending = lending
 
     def get(self, address: str) -> '_LocalRequester':
-        """Return itself for the only address."""
+        """Return this requester; there is only one address."""
         return self
 
     async def ask(
@@ -130,7 +136,7 @@
         expected: type[TokenLoan],
         timeout_s: float,
     ) -> Result[TokenLoan, TransportError]:
-        """Ask the controller of the same host."""
+        """Send a borrow request to the controller and return its loan."""
         await asyncio.sleep(_LOCAL_DELAY_S)
         try:
             async with asyncio.timeout(timeout_s):
@@ -145,7 +151,7 @@
 
 @dataclass(slots=True)
 class SimulatedHost:
-    """One host's controller and limiter."""
+    """Controller and limiter of one host, and their background tasks."""
 
     name: str
     lending: Lending
@@ -163,30 +169,36 @@
         customers: tuple[Customer, ...],
         seed: int,
     ) -> None:
-        """Prepare the hosts; call it within a simulation."""
+        """Create the network and the store; needs a running simulation.
+
+        :param seed: seed of all random choices.
+        """
         self.layout = layout
         self.tables = Tables().put(*customers)
         self.platform = MemoryPlatform()
         self.source = random.Random(seed)
-        self.network = Network(self.source, layout.measure_delay)
+        self.network = Network(self.source, layout.find_delay)
         self.hosts: dict[str, SimulatedHost] = {}
-        self._starts = 0
+        self._start_count = 0
 
     def start(self, drift: float = 0) -> None:
         """Start every host.
 
-        :param drift: greatest difference of a clock's speed, as a ratio.
+        :param drift: largest relative error of a host clock's speed.
         """
         for number in range(self.layout.hosts):
             ratio = self.source.uniform(-drift, drift)
             self.start_host(f'h{number}', ratio)
 
     def start_host(self, name: str, drift: float = 0) -> None:
-        """Start a new process on a host."""
-        self._starts += 1
+        """Start a new process on a host.
+
+        :param drift: relative error of the host clock's speed.
+        """
+        self._start_count += 1
         clock = LoopClock(drift, origin=self.source.uniform(0, 1000))
         names = [f'h{number}' for number in range(self.layout.hosts)]
-        domains = {one: self.layout.find_domain(one) for one in names}
+        domains = {host: self.layout.find_domain(host) for host in names}
         peers = NetworkPeers(name, self.network, domains)
         identity = HostIdentity(
             name,
@@ -196,10 +208,10 @@
         lending = Lending(
             LendingContext(
                 identity,
-                f'{name}/{self._starts}',
+                f'{name}/{self._start_count}',
                 lambda: self.tables,
                 peers,
-                _PausedTables(name, self),
+                _PausableTables(name, self),
                 clock,
             ),
         )
@@ -219,14 +231,14 @@
         self.hosts[name] = host
 
     def kill(self, name: str) -> None:
-        """Stop a host's process without a word."""
+        """Kill a host's process without notifying the others."""
         host = self.hosts.pop(name)
         self.network.handlers.pop(name, None)
         for task in host.tasks:
             task.cancel()
 
     def remove_from_peers(self, name: str) -> None:
-        """Let every host learn that a host is gone."""
+        """Remove a host from the live peers that every other host knows."""
         for host in self.hosts.values():
             host.peers.domains.pop(name, None)
 
@@ -239,7 +251,7 @@
         self.network.paused.pop(name).set()
 
     def find_lenders(self, shard: str) -> list[str]:
-        """Return the hosts that would lend for a shard now."""
+        """Return the hosts that hold the lease to lend for a shard now."""
         return [
             name
             for name, host in self.hosts.items()
--- a/crocusshunt/bench/_simulation/_network.py
+++ b/crocusshunt/bench/_simulation/_network.py
@@ -1,4 +1,4 @@
-"""Messages between simulated hosts, with their faults."""
+"""Network between simulated hosts, with message faults and partitions."""
 
 import asyncio
 import random
@@ -24,11 +24,12 @@
 
 @dataclass(slots=True)
 class Faults:
-    """What goes wrong with messages.
+    """Message faults that the network injects.
 
-    :param loss: share of messages lost, on each way.
-    :param duplication: share of requests that arrive twice.
-    :param jitter_s: greatest extra delay, which reorders messages.
+    :param loss: probability that a message is lost, in each direction.
+    :param duplication: probability that a request is delivered twice.
+    :param jitter_s: largest extra delay of a message, in seconds; reorders
+        messages.
     """
 
     loss: float = 0
@@ -37,19 +38,22 @@
 
 
 class Network:
-    """Carries questions and answers between controllers."""
+    """Carries requests and answers between the controllers of the hosts."""
 
     def __init__(
         self,
         source: random.Random,
         delay: Callable[[str, str], float],
     ) -> None:
-        """Start without hosts.
+        """Create a network without hosts.
 
-        :param delay: seconds one way between two hosts.
+        :param source: random source of faults and extra delays.
+        :param delay: returns the one-way delay between two hosts, in
+            seconds.
         """
         self.faults = Faults()
         self.handlers: dict[str, Handlers] = {}
+        # Hosts of different numbers cannot reach each other; 0 by default.
         self.partitions: dict[str, int] = {}
         self.paused: dict[str, asyncio.Event] = {}
         self.sent: Counter[str] = Counter()
@@ -57,7 +61,7 @@
         self._source = source
         self._delay = delay
         self._codec = Codec()
-        self._late: set[asyncio.Task[None]] = set()
+        self._duplicates: set[asyncio.Task[None]] = set()
 
     async def ask(
         self,
@@ -67,7 +71,10 @@
         expected: type[_BodyType],
         timeout_s: float,
     ) -> Result[_BodyType, TransportError]:
-        """Send a question and return its answer."""
+        """Send a request and return its answer.
+
+        :param timeout_s: how long to wait for the answer, in seconds.
+        """
         answer: Body | None = None
         try:
             async with asyncio.timeout(timeout_s):
@@ -89,48 +96,51 @@
 
     async def _exchange(self, sender: str, host: str, body: Body) -> Body:
         await self.wait_while_paused(sender)
-        await self._travel(sender, host, body)
+        await self._delay_or_drop(sender, host, body)
         if self._source.random() < self.faults.duplication:
-            self._repeat(sender, host, body)
+            self._serve_duplicate(sender, host, body)
         answer = await self._serve(host, body)
-        await self._travel(host, sender, answer)
+        await self._delay_or_drop(host, sender, answer)
         return answer
 
-    def _repeat(self, sender: str, host: str, body: Body) -> None:
-        async def serve_late() -> None:
+    def _serve_duplicate(self, sender: str, host: str, body: Body) -> None:
+        async def serve_after_delay() -> None:
             await asyncio.sleep(self._source.random())
             await self._serve(host, body)
 
-        task = asyncio.create_task(serve_late())
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+        task = asyncio.create_task(serve_after_delay())
+        self._duplicates.add(task)
+        task.add_done_callback(self._duplicates.discard)
 
     async def _serve(self, host: str, body: Body) -> Body:
         await self.wait_while_paused(host)
         if host not in self.handlers:
             await asyncio.Event().wait()
-        # A handler goes on when its asker has given up.
+        # A handler keeps running after its request has timed out.
         serving: Awaitable[Body] = asyncio.ensure_future(
             self.handlers[host].answer(body),
         )
         return await asyncio.shield(serving)
 
-    async def _travel(self, sender: str, host: str, body: Body) -> None:
+    async def _delay_or_drop(self, sender: str, host: str, body: Body) -> None:
         if sender == host:
             return
         self.sent[type(body).__name__] += 1
         self.sent_bytes[sender] += len(self._codec.encode(body))
-        is_cut = self.partitions.get(sender, 0) != self.partitions.get(host, 0)
-        if is_cut or self._source.random() < self.faults.loss:
+        is_partitioned = self.partitions.get(sender, 0) != self.partitions.get(
+            host, 0
+        )
+        if is_partitioned or self._source.random() < self.faults.loss:
             await asyncio.Event().wait()
         extra = self._source.random() * self.faults.jitter_s
         await asyncio.sleep(self._delay(sender, host) + extra)
 
 
 class NetworkPeers:
-    """Peers of one simulated host.
+    """The other hosts as one simulated host sees them.
 
-    :param domains: failure domain of each host that it believes to live.
+    :param domains: failure domain of each host that this host considers
+        live.
     """
 
     def __init__(
@@ -139,7 +149,7 @@
         network: Network,
         domains: dict[str, str],
     ) -> None:
-        """Believe in the hosts given."""
+        """Create the peers with an initial view of the live hosts."""
         self.domains = domains
         self._name = name
         self._network = network
--- a/crocusshunt/bench/_simulation/_time.py
+++ b/crocusshunt/bench/_simulation/_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only while nothing is ready to run."""
+"""Event loop in simulated time; it advances when no task is ready."""
 
 import asyncio
 import selectors
@@ -15,13 +15,15 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError('the simulation waits for nothing')
+            raise RuntimeError(
+                'simulation deadlock: no task is ready and no timer is set'
+            )
         self.seconds += max(0, timeout)
         return super().select(0)
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """Runs timers at once and moves its own time to theirs."""
+    """Jumps to the next timer instead of waiting for it."""
 
     def __init__(self) -> None:
         """Start at time 0."""
@@ -36,21 +38,22 @@
 class LoopClock:
     """The clock of one host, at its own speed and origin.
 
-    :param drift: how much faster than the loop it runs, as a ratio.
+    :param drift: relative error of its speed; 0.01 is 1 % too fast.
+    :param origin: reading at the start of the simulation, in seconds.
     """
 
     def __init__(self, drift: float = 0, origin: float = 0) -> None:
-        """Read the running loop's time."""
+        """Create a clock based on the running loop."""
         self._loop = asyncio.get_running_loop()
         self._drift = drift
         self._origin = origin
 
     def monotonic(self) -> float:
-        """Return seconds from the host's own origin."""
+        """Return the time on the host's clock, in seconds."""
         return self._origin + self._loop.time() * (1 + self._drift)
 
     def wall(self) -> float:
-        """Return seconds since the start of the simulation."""
+        """Return the same time as `monotonic`."""
         return self.monotonic()
 
 
--- a/crocusshunt/bench/_simulation/_traffic.py
+++ b/crocusshunt/bench/_simulation/_traffic.py
@@ -1,4 +1,4 @@
-"""Requests of customers that arrive at simulated hosts."""
+"""Generates requests of customers and sends them to simulated hosts."""
 
 import asyncio
 import random
@@ -9,18 +9,18 @@
 from crocusshunt.bench._simulation._fleet import LimitFleet
 from crocusshunt.gateway import LimitUnavailableError
 
-_SKEW = 0.5
-_PATIENCE_S = 3
-_AFTERMATH_S = 5
+_NEXT_HOST_WEIGHT_RATIO = 0.5
+_MAX_WAIT_S = 3
+_SETTLE_S = 5
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Offered requests of a customer.
+    """Load that a customer offers.
 
-    :param per_s: requests a second over all hosts.
-    :param start_s: when they begin, in seconds.
-    :param duration_s: how long they last, in seconds.
+    :param per_s: requests per second over all hosts.
+    :param start_s: time of the start, in seconds.
+    :param duration_s: duration, in seconds.
     """
 
     customer: str
@@ -31,7 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request at a host, both given as numbers."""
+    """A request that arrives at a host.
+
+    :param at: time of the arrival, in seconds.
+    :param host: number of the host.
+    """
 
     at: float
     host: int
@@ -39,12 +43,13 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What became of the requests of a customer.
+    """Outcomes of the requests of a customer.
 
-    :param admitted: times, in seconds.
+    :param admitted: times of admissions, in seconds.
     :param waits: time from arrival to admission, in seconds.
-    :param refused: times of refusals because of the rate.
-    :param unavailable: times of refusals because nobody could lend.
+    :param refused: times of refusals because of the rate, in seconds.
+    :param unavailable: times of refusals because no host could lend, in
+        seconds.
     """
 
     admitted: list[float] = field(default_factory=list)
@@ -63,8 +68,11 @@
     hosts: int,
     source: random.Random,
 ) -> tuple[Arrival, ...]:
-    """Return Poisson arrivals, each host getting half as many as the last."""
-    weights = [_SKEW**number for number in range(hosts)]
+    """Return Poisson arrivals, skewed towards the hosts of low number.
+
+    Each host gets on average half as many as the host before it.
+    """
+    weights = [_NEXT_HOST_WEIGHT_RATIO**number for number in range(hosts)]
     arrivals: list[Arrival] = []
     now = load.start_s
     while True:
@@ -80,7 +88,10 @@
     customer: str,
     arrivals: tuple[Arrival, ...],
 ) -> Tally:
-    """Send requests to the fleet; those for a dead host go to the next."""
+    """Send requests to the fleet and return their outcomes.
+
+    Requests for a dead host go to the next live one.
+    """
     tally = Tally()
     tasks = []
     loop = asyncio.get_running_loop()
@@ -89,7 +100,7 @@
         tasks.append(
             asyncio.create_task(_send(fleet, customer, arrival.host, tally)),
         )
-    await asyncio.sleep(_AFTERMATH_S)
+    await asyncio.sleep(_SETTLE_S)
     await asyncio.gather(*tasks)
     return tally
 
@@ -105,7 +116,7 @@
     while f'h{number}' not in fleet.hosts:
         number = (number + 1) % fleet.layout.hosts
     limiter = fleet.hosts[f'h{number}'].limiter
-    taken = await limiter.try_take(customer, _PATIENCE_S)
+    taken = await limiter.try_take(customer, _MAX_WAIT_S)
     now = loop.time()
     if isinstance(taken, Ok):
         tally.admitted.append(now)
--- a/crocusshunt/bench/_spread/__init__.py
+++ b/crocusshunt/bench/_spread/__init__.py
@@ -1,6 +1,6 @@
-"""A simulated fleet that spreads the configuration."""
+"""Simulated fleet that propagates configuration changes."""
 
 from crocusshunt.bench._spread._fleet import SpreadFleet, SpreadSettings
-from crocusshunt.bench._spread._pool import Wire
+from crocusshunt.bench._spread._network import SimulatedNetwork
 
-__all__ = ('SpreadFleet', 'SpreadSettings', 'Wire')
+__all__ = ('SpreadFleet', 'SpreadSettings', 'SimulatedNetwork')
--- a/crocusshunt/bench/_spread/_fleet.py
+++ b/crocusshunt/bench/_spread/_fleet.py
@@ -1,4 +1,4 @@
-"""Interface processes, controllers and gateways in simulated time."""
+"""API processes, controllers and gateways in simulated time."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,7 +6,10 @@
 from typing import Any, cast
 
 from crocusshunt.bench._simulation import LoopClock
-from crocusshunt.bench._spread._pool import Wire, WirePool
+from crocusshunt.bench._spread._network import (
+    SimulatedNetwork,
+    SimulatedRequesterPool,
+)
 from crocusshunt.configuration import (
     Change,
     ChangeRequest,
@@ -29,16 +32,16 @@
 
 _STORE_DELAY_S = 0.11
 _REGIONS = 3
-_NEAR_S = 0.001
-_FAR_S = 0.055
+_SAME_REGION_DELAY_S = 0.001
+_OTHER_REGION_DELAY_S = 0.055
 
 
 @dataclass(frozen=True, slots=True)
 class SpreadSettings:
     """Size of the fleet.
 
-    :param hosts: entry hosts, each with a controller and a gateway.
-    :param apis: interface processes.
+    :param hosts: number of entry hosts, each with a controller and a gateway.
+    :param apis: number of API processes.
     """
 
     hosts: int
@@ -46,21 +49,21 @@
 
 
 class SpreadFleet:
-    """The real feeds, followers and witnesses on simulated wires."""
+    """Runs production feeds, followers and witnesses on a simulated network."""
 
     def __init__(self, settings: SpreadSettings) -> None:
-        """Assemble the parts on the running loop."""
+        """Create the store and the network; needs a running loop."""
         self.store = MemoryPlatform()
         self.store.switches.delay_s = _STORE_DELAY_S
-        self.wire = Wire(_measure_delay)
+        self.network = SimulatedNetwork(_measure_delay)
         self._clock = LoopClock()
         self.apis = tuple(
-            f'tcp://10.0.{place % _REGIONS}.{place}:1'
-            for place in range(settings.apis)
+            f'tcp://10.0.{index % _REGIONS}.{index}:1'
+            for index in range(settings.apis)
         )
         self.controllers = tuple(
-            f'controller-{place % _REGIONS}-{place}'
-            for place in range(settings.hosts)
+            f'controller-{index % _REGIONS}-{index}'
+            for index in range(settings.hosts)
         )
         self.feeds: dict[str, Feed] = {}
         self.gateways: list[Feed] = []
@@ -68,28 +71,30 @@
         self._tasks: list[asyncio.Task[Any]] = []
 
     def start(self) -> None:
-        """Start all tasks."""
+        """Start the tasks of all processes."""
         for address in self.apis:
             self._start_api(address)
-        for place, controller in enumerate(self.controllers):
-            near = [
+        for index, controller in enumerate(self.controllers):
+            local_apis = [
                 api
                 for api in self.apis
                 if _find_region(api) == _find_region(controller)
             ]
             self._serve(controller, Feed(self._clock), Handlers())
-            self._follow(controller, near[place // _REGIONS % len(near)])
+            self._follow(
+                controller, local_apis[index // _REGIONS % len(local_apis)]
+            )
             self.gateways.append(Feed(self._clock))
-            self._run(self._create_follower(place).run())
+            self._start_task(self._create_follower(index).run())
 
     async def stop(self) -> None:
-        """Cancel all tasks."""
+        """Cancel the tasks of all processes and wait for their end."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def accept(self, change_id: str, *rows: Row) -> Change:
-        """Write a change through the first interface process."""
+        """Write a change of rows through the first API process."""
         feed = self.feeds[self.apis[0]]
         edits = tuple(
             EditRequest(find_row_table(row), row.name, encode_row(row))
@@ -111,20 +116,24 @@
             WitnessAnnouncer(pool),
         )
         feed = Feed(self._clock)
-        parts = WitnessHandler(repository, self._clock)
+        witness_handler = WitnessHandler(repository, self._clock)
         handlers = Handlers()
-        parts.register(handlers)
+        witness_handler.register(handlers)
         self._serve(address, feed, handlers)
         self._repositories.append(repository)
-        poller = StorePoller(repository, feed, self._clock, parts.observe)
-        self._run(poller.run())
-        self._run(parts.run(lambda: address in feed.witness_addresses))
-        self._run(TestimonyCollector(feed, pool, self._clock).run())
+        poller = StorePoller(
+            repository, feed, self._clock, witness_handler.observe
+        )
+        self._start_task(poller.run())
+        self._start_task(
+            witness_handler.run(lambda: address in feed.witness_addresses)
+        )
+        self._start_task(TestimonyCollector(feed, pool, self._clock).run())
 
     def _serve(self, address: str, feed: Feed, handlers: Handlers) -> None:
         handlers.register(FetchChanges)(feed.answer)
         self.feeds[address] = feed
-        self.wire.handlers[address] = handlers
+        self.network.handlers[address] = handlers
 
     def _follow(self, address: str, source: str) -> None:
         follower = Follower(
@@ -133,31 +142,31 @@
             self._create_pool(address),
             self._clock,
         )
-        self._run(follower.run())
+        self._start_task(follower.run())
 
-    def _create_follower(self, place: int) -> Follower:
-        controller = self.controllers[place]
+    def _create_follower(self, index: int) -> Follower:
+        controller = self.controllers[index]
         return Follower(
             FollowerSettings((controller,)),
-            self.gateways[place],
+            self.gateways[index],
             self._create_pool(f'gateway-{controller}'),
             self._clock,
         )
 
     def _create_pool(self, sender: str) -> RequesterPool:
-        return cast(RequesterPool, WirePool(self.wire, sender))
+        return cast(RequesterPool, SimulatedRequesterPool(self.network, sender))
 
-    def _run(self, work: Coroutine[Any, Any, None]) -> None:
-        self._tasks.append(asyncio.create_task(work))
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self._tasks.append(asyncio.create_task(coroutine))
 
 
 def _find_region(address: str) -> str:
     separator = '.' if '.' in address else '-'
-    place = 2 if separator == '.' else -2
-    return address.split(separator)[place]
+    index = 2 if separator == '.' else -2
+    return address.split(separator)[index]
 
 
 def _measure_delay(source: str, target: str) -> float:
     if _find_region(source) == _find_region(target):
-        return _NEAR_S
-    return _FAR_S
+        return _SAME_REGION_DELAY_S
+    return _OTHER_REGION_DELAY_S
--- a/crocusshunt/bench/_spread/_pool.py
+++ b/crocusshunt/bench/_spread/_network.py
@@ -1,4 +1,4 @@
-"""Messages between simulated processes, counted and delayed."""
+"""Network between simulated processes that delays and counts messages."""
 
 import asyncio
 from collections import Counter
@@ -20,41 +20,46 @@
 _BodyType = TypeVar('_BodyType', bound=Body)
 
 
-class Wire:
-    """Handlers by address, and what was sent between them."""
+class SimulatedNetwork:
+    """Delivers messages to the handlers of addresses and counts them.
+
+    `transferred_bytes` counts what each address sent and received."""
 
     def __init__(self, delay: Callable[[str, str], float]) -> None:
-        """Start without processes.
+        """Create a network without processes.
 
-        :param delay: seconds one way between two addresses.
+        :param delay: returns the one-way delay between two addresses, in
+            seconds.
         """
         self.handlers: dict[str, Handlers] = {}
         self.messages = 0
-        self.octets: Counter[str] = Counter()
+        self.transferred_bytes: Counter[str] = Counter()
         self._delay = delay
         self._codec = Codec()
 
     async def exchange(self, sender: str, target: str, body: Body) -> Body:
-        """Carry a question and its answer."""
-        await self._travel(sender, target, body)
+        """Deliver a request and return its answer."""
+        await self._transmit(sender, target, body)
         answer = await self.handlers[target].answer(body)
-        await self._travel(target, sender, answer)
+        await self._transmit(target, sender, answer)
         return answer
 
-    async def _travel(self, sender: str, target: str, body: Body) -> None:
+    async def _transmit(self, sender: str, target: str, body: Body) -> None:
         size = len(self._codec.encode(body))
         self.messages += 1
-        self.octets[sender] += size
-        self.octets[target] += size
+        self.transferred_bytes[sender] += size
+        self.transferred_bytes[target] += size
         await asyncio.sleep(self._delay(sender, target))
 
 
-class WireRequester:
-    """Asks one address, in place of a socket."""
+class SimulatedRequester:
+    """Sends requests to one address; replaces a requester with a socket."""
 
-    def __init__(self, wire: Wire, sender: str, target: str) -> None:
-        """Ask a target in the name of a sender."""
-        self._wire = wire
+    def __init__(
+        self, network: SimulatedNetwork, sender: str, target: str
+    ) -> None:
+        """Create a requester from a sender to a target address."""
+        self._network = network
         self._sender = sender
         self._target = target
 
@@ -64,7 +69,7 @@
         expected: type[_BodyType],
         timeout_s: float,
     ) -> Result[_BodyType, TransportError]:
-        """Send a message and return an answer of a type."""
+        """Send a request and return an answer of the expected type."""
         answer = await self.exchange(body, timeout_s)
         if isinstance(answer, Err):
             return answer
@@ -77,11 +82,13 @@
         body: Body,
         timeout_s: float,
     ) -> Result[Body, TransportError]:
-        """Send a message and return an answer of any type but refusal."""
-        wire = self._wire
+        """Send a request and return an answer of any type except refusal."""
+        network = self._network
         try:
             async with asyncio.timeout(timeout_s):
-                answer = await wire.exchange(self._sender, self._target, body)
+                answer = await network.exchange(
+                    self._sender, self._target, body
+                )
         except TimeoutError:
             return Err(PeerTimeoutError(self._target))
         if isinstance(answer, Refusal):
@@ -89,14 +96,14 @@
         return Ok(answer)
 
 
-class WirePool:
-    """Requesters of one process, in place of its sockets."""
+class SimulatedRequesterPool:
+    """Requesters of one process; replaces a pool of sockets."""
 
-    def __init__(self, wire: Wire, sender: str) -> None:
-        """Ask in the name of a sender."""
-        self._wire = wire
+    def __init__(self, network: SimulatedNetwork, sender: str) -> None:
+        """Create a pool for requests from a sender."""
+        self._network = network
         self._sender = sender
 
-    def get(self, address: str) -> WireRequester:
+    def get(self, address: str) -> SimulatedRequester:
         """Return the requester for an address."""
-        return WireRequester(self._wire, self._sender, address)
+        return SimulatedRequester(self._network, self._sender, address)
--- a/crocusshunt/bench/configuration.py
+++ b/crocusshunt/bench/configuration.py
@@ -70,16 +70,16 @@
 
 async def _measure_spread(hosts: int) -> _Spread:
     fleet = await _start(hosts, _APIS - 1)
-    octets = fleet.wire.octets.copy()
+    octets = fleet.network.transferred_bytes.copy()
     calls = fleet.store.calls
     await asyncio.sleep(_STEADY_S)
-    sent = fleet.wire.octets - octets
+    sent = fleet.network.transferred_bytes - octets
     busiest = max(
         sent[one] + sent[f'gateway-{one}'] for one in fleet.controllers
     )
     reads = (fleet.store.calls - calls) / _STEADY_S
     await fleet.accept('c2', replace(_KEY, state=KeyState.withdrawn))
-    before = fleet.wire.messages
+    before = fleet.network.messages
     withdrawal = await _wait(
         lambda: not any(_is_honoured(feed) for feed in fleet.gateways),
     )
@@ -92,7 +92,7 @@
     return _Spread(
         propagation_s=withdrawal + spread,
         withdrawal_s=withdrawal,
-        messages=fleet.wire.messages - before,
+        messages=fleet.network.messages - before,
         octets=busiest / _STEADY_S,
         reads=reads,
     )
