--- a/crocusshunt/bench/__init__.py
+++ b/crocusshunt/bench/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements, each against its stated target and a baseline."""
+"""Benchmarks, each measured against its target and a baseline."""
 
 from crocusshunt.bench._registry import (
     Measurement,
--- a/crocusshunt/bench/__main__.py
+++ b/crocusshunt/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the measurements and prints one JSON object a line.
+"""Runs benchmarks and prints each measurement as one line of JSON.
 
 Usage:
   bench [SUBJECT...]
@@ -16,7 +16,7 @@
 
 
 def main() -> None:
-    """Run the wanted subjects, then list what misses its target."""
+    """Run the benchmarks of the subjects, then list all missed targets."""
     arguments = docopt(__doc__ or '')
     _import_subjects()
     measurements = []
--- a/crocusshunt/bench/_delivery_cost.py
+++ b/crocusshunt/bench/_delivery_cost.py
@@ -1,4 +1,4 @@
-"""What delivery costs: added latency, processor time, memory."""
+"""Benchmarks of added latency, CPU time and memory of delivery."""
 
 import asyncio
 import resource
@@ -22,11 +22,11 @@
 _MICROSECONDS = 1_000_000
 _MILLISECONDS = 1000
 
-_Call = Callable[[], Awaitable[int]]
+_RequestFunction = Callable[[], Awaitable[int]]
 
 
 class _BareForwarder(HttpService):
-    """The simplest forwarding loop, without any promise."""
+    """Minimal forwarder without retries, limits or other guarantees."""
 
     def __init__(self, target: str) -> None:
         super().__init__('127.0.0.1', 0)
@@ -34,19 +34,19 @@
         self._session: ClientSession | None = None
 
     def create_application(self) -> web.Application:
-        """Return an application that takes every path."""
+        """Return an application that forwards every path."""
         application = web.Application()
         application.router.add_route('*', '/{path:.*}', self._forward)
         return application
 
     async def start(self) -> None:
-        """Open the session and listen."""
+        """Open the client session and listen."""
         connector = TCPConnector(limit=0)
         self._session = ClientSession(connector=connector)
         await super().start()
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Close both sides."""
+        """Stop listening and close the client session."""
         await super().stop(exception)
         if self._session is not None:
             await self._session.close()
@@ -63,7 +63,10 @@
 
 
 async def measure_latency() -> list[Measurement]:
-    """Measure the latency and processor time over a bare loop."""
+    """Measure the latency and CPU time that the gateway adds.
+
+    The baseline is a minimal forwarder.
+    """
     async with run_site(servers=3) as site:
         bare = _BareForwarder(site.backends[0].url)
         await bare.start()
@@ -73,82 +76,82 @@
             'gateway': _create_call(site, site.url),
         }
         latencies = {name: HdrHistogram(*_HISTOGRAM) for name in calls}
-        seconds = dict.fromkeys(calls, float(0))
+        cpu_s = dict.fromkeys(calls, float(0))
         for number in range(_WARM_UP + _REQUESTS):
             for name, call in calls.items():
-                spent = time.process_time()
+                cpu_started = time.process_time()
                 started = time.perf_counter()
                 await call()
                 if number >= _WARM_UP:
                     elapsed = time.perf_counter() - started
                     latencies[name].record_value(int(elapsed * _MICROSECONDS))
-                    seconds[name] += time.process_time() - spent
+                    cpu_s[name] += time.process_time() - cpu_started
         await bare.stop()
-    return _report_latency(latencies, seconds)
+    return _report_latency(latencies, cpu_s)
 
 
 async def measure_waiting() -> list[Measurement]:
     """Measure the memory of a waiting request and its connection.
 
-    Both ends of the connection are in this process, so the figure is more
-    than the gateway's part.
+    Both ends of the connection are in this process, so the figure includes
+    the client's memory as well as the gateway's.
     """
     async with run_site(servers=1) as site:
         site.backends[0].switches.fault = Fault.hang
-        writers = [await _ask(site) for _ in range(_SLOTS)]
+        writers = [await _open_request(site) for _ in range(_SLOTS)]
         await asyncio.sleep(0.2)
-        before = _read_memory()
+        before = _read_resident_bytes()
         for _ in range(_WAITING):
-            writers.append(await _ask(site))
+            writers.append(await _open_request(site))
         await asyncio.sleep(0.2)
         held = site.gateways[0].in_flight
-        grown = (_read_memory() - before) / _WAITING
+        growth = (_read_resident_bytes() - before) / _WAITING
         for writer in writers:
             writer.close()
         await asyncio.sleep(0.2)
     return [
-        Measurement('delivery.memory_per_waiting', round(grown), 'bytes'),
+        Measurement('delivery.memory_per_waiting', round(growth), 'bytes'),
         Measurement('delivery.memory_per_waiting.held', held, 'requests'),
     ]
 
 
 def _report_latency(
     latencies: dict[str, HdrHistogram],
-    seconds: dict[str, float],
+    cpu_s: dict[str, float],
 ) -> list[Measurement]:
-    measured = []
+    measurements = []
     for percentile in (50, 99):
-        at = {
-            name: one.get_value_at_percentile(percentile) / _MILLISECONDS
-            for name, one in latencies.items()
+        latency_ms = {
+            name: histogram.get_value_at_percentile(percentile) / _MILLISECONDS
+            for name, histogram in latencies.items()
         }
-        measured.append(
+        measurements.append(
             Measurement(
                 f'delivery.latency.p{percentile}_added',
-                round(at['gateway'] - at['bare'], 3),
+                round(latency_ms['gateway'] - latency_ms['bare'], 3),
                 'ms',
                 target=1 if percentile == 50 else None,
-                baseline=round(at['bare'], 3),
+                baseline=round(latency_ms['bare'], 3),
             ),
         )
-    # What the caller and the backend server cost in the same process is
-    # taken off both.
-    rate = {
-        name: _REQUESTS / max(seconds[name] - seconds['direct'], 0.001)
+    # The client and the backend server run in the same process; their cost,
+    # measured by direct calls, is subtracted from both figures.
+    requests_per_cpu_s = {
+        name: _REQUESTS / max(cpu_s[name] - cpu_s['direct'], 0.001)
         for name in ('bare', 'gateway')
     }
-    measured.append(
+    measurements.append(
         Measurement(
             'delivery.requests_per_core',
-            round(rate['gateway']),
+            round(requests_per_cpu_s['gateway']),
             'requests/s',
-            baseline=round(rate['bare']),
+            baseline=round(requests_per_cpu_s['bare']),
         ),
     )
-    return measured
+    return measurements
 
 
-def _create_call(site: Site, url: str) -> _Call:
+def _create_call(site: Site, url: str) -> _RequestFunction:
     async def call() -> int:
         async with site.session.get(
             f'{url}/verify/1',
@@ -160,7 +163,7 @@
     return call
 
 
-async def _ask(site: Site) -> asyncio.StreamWriter:
+async def _open_request(site: Site) -> asyncio.StreamWriter:
     port = site.gateways[0].port
     _reader, writer = await asyncio.open_connection('127.0.0.1', port)
     writer.write(
@@ -169,6 +172,6 @@
     return writer
 
 
-def _read_memory() -> int:
+def _read_resident_bytes() -> int:
     pages = Path('/proc/self/statm').read_text(encoding='ascii').split()[1]
     return int(pages) * resource.getpagesize()
--- a/crocusshunt/bench/_delivery_load.py
+++ b/crocusshunt/bench/_delivery_load.py
@@ -1,4 +1,4 @@
-"""How delivery shares room between customers and spares a failing pool."""
+"""Benchmarks of fairness between customers and of retries to a failing pool."""
 
 import asyncio
 import random
@@ -19,39 +19,41 @@
 
 
 async def measure_amplification() -> list[Measurement]:
-    """Measure requests sent for each offered, half a pool down."""
-    sent, answered = await _offer_to_half_a_pool(DeliveryPolicy())
-    naive = DeliveryPolicy(
+    """Measure requests sent per offered request while half a pool is down."""
+    sent, answered = await _send_with_half_pool_down(DeliveryPolicy())
+    unprotected = DeliveryPolicy(
         ejection=EjectionSettings(failures=1_000_000),
         retries=BudgetSettings(ratio=1, reserve=1000),
     )
-    naive_sent, naive_answered = await _offer_to_half_a_pool(naive)
+    unprotected_sent, unprotected_answered = await _send_with_half_pool_down(
+        unprotected
+    )
     return [
         Measurement(
             'delivery.amplification',
             sent,
             'requests',
             target=1.1,
-            baseline=naive_sent,
+            baseline=unprotected_sent,
             seed=_SEED,
         ),
         Measurement(
             'delivery.amplification.answered',
             answered,
             'share',
-            baseline=naive_answered,
+            baseline=unprotected_answered,
             seed=_SEED,
         ),
     ]
 
 
 async def measure_worst_customer() -> list[Measurement]:
-    """Measure a small customer beside a flood by another."""
+    """Measure a small customer while another floods the gateway."""
     async with run_site(servers=3) as site:
         for slow in site.backends:
             slow.switches.delay_s = 0.05
         alone = await _time_calls(site, 100)
-        flood = asyncio.create_task(_flood(site))
+        flood = asyncio.create_task(_flood_with_requests(site))
         await asyncio.sleep(0.5)
         crowded = await _time_calls(site, 100)
         flood.cancel()
@@ -73,18 +75,20 @@
     ]
 
 
-async def _offer_to_half_a_pool(policy: DeliveryPolicy) -> tuple[float, float]:
+async def _send_with_half_pool_down(
+    policy: DeliveryPolicy,
+) -> tuple[float, float]:
     offered = 600
     async with run_site(servers=6, policy=policy) as site:
         for broken in site.backends[::2]:
             broken.switches.fault = Fault.die_before
-        statuses = await _offer(site, offered, per_second=300)
+        statuses = await _send_requests(site, offered, per_second=300)
         sent = sum(backend.received for backend in site.backends)
     answered = sum(status == 200 for status in statuses)
     return round(sent / offered, 3), round(answered / offered, 3)
 
 
-async def _offer(
+async def _send_requests(
     site: Site,
     count: int,
     per_second: float,
@@ -117,10 +121,10 @@
     return latencies
 
 
-async def _flood(site: Site) -> None:
-    async def ask_again_and_again() -> None:
+async def _flood_with_requests(site: Site) -> None:
+    async def request_repeatedly() -> None:
         while True:
             async with site.request('GET', '/verify/flood') as answer:
                 await answer.read()
 
-    await asyncio.gather(*(ask_again_and_again() for _ in range(60)))
+    await asyncio.gather(*(request_repeatedly() for _ in range(60)))
--- a/crocusshunt/bench/_delivery_safety.py
+++ b/crocusshunt/bench/_delivery_safety.py
@@ -1,4 +1,4 @@
-"""What delivery may never do: cut a request, run one twice."""
+"""Benchmarks of requests that are cut or run twice, which must not happen."""
 
 import asyncio
 import random
@@ -19,8 +19,8 @@
 )
 
 
-async def measure_stops() -> list[Measurement]:
-    """Measure requests cut by planned stops under load."""
+async def measure_cut_requests() -> list[Measurement]:
+    """Measure requests cut by planned stops of a gateway under load."""
     offered, cut = 0, 0
     for number in range(5):
         async with run_site(servers=4) as site:
@@ -36,8 +36,8 @@
     ]
 
 
-async def measure_double_runs() -> list[Measurement]:
-    """Measure writes that ran twice, each sent four times."""
+async def measure_duplicate_runs() -> list[Measurement]:
+    """Measure writes that ran more than once when each was sent four times."""
     with_key = await _write_repeatedly('key-')
     without = await _write_repeatedly('')
     return [
@@ -65,7 +65,10 @@
 
 
 async def _write_repeatedly(prefix: str) -> Counter[str]:
-    """Return runs by idempotency key, of writes sent four times each."""
+    """Return the runs per idempotency key of writes sent four times each.
+
+    :param prefix: prefix of the keys; no key is sent if empty.
+    """
     source = random.Random(_SEED)
     async with run_site(servers=5, gateways=3) as site:
         site.platform.platform.switches.lost_answers = _WRITES
--- a/crocusshunt/bench/_planned.py
+++ b/crocusshunt/bench/_operations.py
@@ -1,4 +1,4 @@
-"""Shifts under faults, and the end of a drain."""
+"""Simulations of shifts under faults, link budgets and drains."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
@@ -29,17 +29,18 @@
 _PAUSE_S = 0.5
 _START_CHANCE = 0.05
 _STOP_CHANCE = 0.02
-_NEWS_CHANCE = 0.2
+_LIST_UPDATE_CHANCE = 0.2
 _COMMAND_CHANCE = 0.2
 _READING_CHANCE = 0.9
 
 
 @dataclass(frozen=True, slots=True)
 class DrainOutcome:
-    """How a drain ended.
+    """Result of a simulated drain.
 
-    :param safe_s: when it was called safe to switch off, in seconds.
-    :param cut: requests that still ran then.
+    :param safe_s: time at which the host was reported safe to switch off, in
+        seconds.
+    :param cut: requests that were still running at that time.
     """
 
     safe_s: float
@@ -47,7 +48,7 @@
 
 
 def measure_shift_excess(seed: int) -> float:
-    """Return the greatest share by which a step or shift passed its cap."""
+    """Return the largest share by which a step or shift exceeded its cap."""
     source = Random(seed)
     excess: float = 0
     for _ in range(_SHIFTS):
@@ -61,7 +62,7 @@
             step_share=source.uniform(0.01, 1),
         )
         for _ in range(_EVENTS):
-            changed = _disturb(shift, source)
+            changed = _apply_random_event(shift, source)
             change = abs(changed.moved - shift.moved)
             excess = max(excess, change - shift.step_share)
             excess = max(excess, changed.moved - share)
@@ -70,29 +71,29 @@
 
 
 def measure_link_excess(seed: int) -> float:
-    """Return by how much the gateways' parts passed a link's limit."""
+    """Return the Mbit/s by which the gateways' shares exceeded a link limit."""
     source = Random(seed)
     budgets: list[LinkBudget] = []
-    listed = 0
+    listed_hosts = 0
     excess: float = 0
     for now_s in range(2_000):
         if len(budgets) < 9 and source.random() < _START_CHANCE:
             budgets.append(LinkBudget(_LINK_MBITS, now_s))
         if budgets and source.random() < _STOP_CHANCE:
             budgets.pop(source.randrange(len(budgets)))
-        if source.random() < _NEWS_CHANCE:
-            # The platform's list lags by some seconds.
-            listed = len(budgets)
+        if source.random() < _LIST_UPDATE_CHANCE:
+            # The platform's host list is a few seconds out of date.
+            listed_hosts = len(budgets)
         for one in budgets:
-            one.record_host_count(max(1, listed), now_s)
-        parts = sum(budget.compute_share(now_s) for budget in budgets)
-        excess = max(excess, parts - _LINK_MBITS)
+            one.record_host_count(max(1, listed_hosts), now_s)
+        total_share = sum(budget.compute_share(now_s) for budget in budgets)
+        excess = max(excess, total_share - _LINK_MBITS)
     return round(max(0, excess), 6)
 
 
-def drain_host(bounds: DrainBounds, seed: int) -> DrainOutcome:
-    """Drain a host whose callers hold cached answers."""
-    ends = sorted(_list_ends(bounds, Random(seed)))
+def simulate_drain(bounds: DrainBounds, seed: int) -> DrainOutcome:
+    """Simulate the drain of a host whose callers cache look-up answers."""
+    ends = sorted(_generate_request_ends(bounds, Random(seed)))
     drain = Drain('d', DrainKind.host, 'h1')
     now_s = 0
     while True:
@@ -103,8 +104,8 @@
         now_s += 1
 
 
-def _disturb(shift: Shift, source: Random) -> Shift:
-    """Return a shift after a command, or a step on doubtful readings."""
+def _apply_random_event(shift: Shift, source: Random) -> Shift:
+    """Return a shift after a random command, or a step on faulty readings."""
     if source.random() < _COMMAND_CHANCE:
         command = source.choice(sorted(list_commands()))
         return list_commands()[command](shift).unwrap_or(shift)
@@ -127,7 +128,9 @@
     return plan_step(shift, inputs, StepSettings()).unwrap_or(shift)
 
 
-def _list_ends(bounds: DrainBounds, source: Random) -> Iterator[float]:
+def _generate_request_ends(
+    bounds: DrainBounds, source: Random
+) -> Iterator[float]:
     """Yield when each request on the drained host ends, in seconds."""
     for _ in range(_CALLERS):
         learned_s = source.uniform(0, bounds.propagation_s)
@@ -136,7 +139,8 @@
         expires_s = now_s + bounds.lifetime_s
         while now_s < learned_s + bounds.lifetime_s:
             if now_s >= expires_s:
-                # Each look-up asks a locator, which may have learned of it.
+                # Each look-up asks a locator, which may already know of the
+                # drain.
                 uses_host = now_s < learned_s and source.random() < _HOST_SHARE
                 expires_s = now_s + bounds.lifetime_s
             if uses_host:
--- a/crocusshunt/bench/_regions.py
+++ b/crocusshunt/bench/_regions.py
@@ -1,4 +1,4 @@
-"""Regions whose load is measured late, for measurements of decisions."""
+"""Simulation of balancing between regions on delayed load measurements."""
 
 from collections import deque
 from collections.abc import Callable, Mapping
@@ -20,12 +20,12 @@
 STEP_S = 5
 _LAG_STEPS = 2
 _SLOTS = 20
-_LEFT_SLOTS = 4
-_OFFERED = 12
+_REMAINING_SLOTS = 4
+_OFFERED_SLOTS = 12
 _LOSS_STEP = 10
 _STEPS = 120
 _NOTICEABLE = 0.01
-_NOTHING = float(0)
+_ZERO = float(0)
 _LINKS = tuple(
     Link(f'{source}-{target}', source, target, 4000, 55)
     for source, target in permutations(REGIONS, 2)
@@ -37,10 +37,11 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What a policy did after most of a region's servers were lost.
+    """Behaviour of a policy after the loss of most servers of a region.
 
     :param settle_steps: steps from the loss to the last noticeable change.
-    :param reversals: changes of a region's load against the one before.
+    :param reversals: changes of a region's load in the opposite direction to
+        the previous change.
     :param overload: slot-seconds above a region's slots that load from
         other regions caused.
     :param served: share of the load served at the end.
@@ -54,13 +55,17 @@
 
 @dataclass(slots=True)
 class DampedPolicy:
-    """The plan of the steering package, applied by all gateways."""
+    """Policy that follows the load plan of the steering package.
+
+    :param plan: the current plan.
+    :param changed_s: time of the last change of its flows, in seconds.
+    """
 
     plan: LoadPlan = field(default_factory=LoadPlan)
     changed_s: float = float('-inf')
 
     def __call__(self, readings: Readings, now_s: float) -> Shares:
-        """Return the share of each region's load for each region."""
+        """Return the share of each source region's load by target region."""
         inputs = BalanceInputs(
             'verify',
             REGIONS,
@@ -83,7 +88,7 @@
 
 
 def split_in_proportion(readings: Readings, now_s: float) -> Shares:
-    """Send all load where room was measured, in proportion to it."""
+    """Split all load in proportion to the free slots measured."""
     room = {
         region: max(0, load.slots - load.busy)
         for (_, region), load in readings.pools.items()
@@ -97,20 +102,23 @@
 
 
 def simulate_server_loss(policy: Policy) -> Outcome:
-    """Lose most of a region's servers under lagging measurements."""
+    """Simulate the loss of most servers of a region.
+
+    The policy sees measurements that lag by two steps.
+    """
     outcome = Outcome()
-    load: Mapping[str, float] = dict.fromkeys(REGIONS, _OFFERED)
+    load: Mapping[str, float] = dict.fromkeys(REGIONS, _OFFERED_SLOTS)
     history = deque([_read(load, 0)], maxlen=_LAG_STEPS + 1)
-    before_change = dict.fromkeys(REGIONS, _NOTHING)
+    last_change = dict.fromkeys(REGIONS, _ZERO)
     for step in range(_STEPS):
-        shares = policy(_age(history), step * STEP_S)
-        loads, inflows = _apply(shares)
+        shares = policy(_delay_readings(history), step * STEP_S)
+        loads, inflows = _distribute_load(shares)
         for region in REGIONS:
             change = loads[region] - load[region]
             if step > _LOSS_STEP and abs(change) > _SLOTS * _NOTICEABLE:
                 outcome.settle_steps = step - _LOSS_STEP
-                outcome.reversals += change * before_change[region] < 0
-                before_change[region] = change
+                outcome.reversals += change * last_change[region] < 0
+                last_change[region] = change
         outcome.overload += _measure_overload(loads, inflows, step) * STEP_S
         load = loads
         history.append(_read(load, step))
@@ -118,13 +126,15 @@
     return outcome
 
 
-def _apply(shares: Shares) -> tuple[dict[str, float], dict[str, float]]:
-    loads = dict.fromkeys(REGIONS, _NOTHING)
-    inflows = dict.fromkeys(REGIONS, _NOTHING)
+def _distribute_load(
+    shares: Shares,
+) -> tuple[dict[str, float], dict[str, float]]:
+    loads = dict.fromkeys(REGIONS, _ZERO)
+    inflows = dict.fromkeys(REGIONS, _ZERO)
     for (source, target), share in shares.items():
-        loads[target] += share * _OFFERED
+        loads[target] += share * _OFFERED_SLOTS
         if source != target:
-            inflows[target] += share * _OFFERED
+            inflows[target] += share * _OFFERED_SLOTS
     return loads, inflows
 
 
@@ -133,7 +143,7 @@
     inflows: Mapping[str, float],
     step: int,
 ) -> float:
-    """Return the slots in excess that load from other regions caused."""
+    """Return the excess of busy slots caused by load from other regions."""
     return sum(
         min(max(0, load - _count_slots(name, step)), inflows[name])
         for name, load in loads.items()
@@ -141,16 +151,16 @@
 
 
 def _measure_served(loads: Mapping[str, float], step: int) -> float:
-    """Return the share of all load that found a slot."""
+    """Return the share of all load that is served."""
     served = sum(
         min(load, _count_slots(name, step)) for name, load in loads.items()
     )
-    return served / (_OFFERED * len(REGIONS))
+    return served / (_OFFERED_SLOTS * len(REGIONS))
 
 
 def _count_slots(region: str, step: int) -> int:
-    is_hit = region == REGIONS[0] and step >= _LOSS_STEP
-    return _LEFT_SLOTS if is_hit else _SLOTS
+    has_lost_servers = region == REGIONS[0] and step >= _LOSS_STEP
+    return _REMAINING_SLOTS if has_lost_servers else _SLOTS
 
 
 def _read(load: Mapping[str, float], step: int) -> Readings:
@@ -158,13 +168,13 @@
     for region in REGIONS:
         slots = _count_slots(region, step)
         busy = min(slots, load[region])
-        pools['verify', region] = PoolLoad(slots, busy, _OFFERED)
+        pools['verify', region] = PoolLoad(slots, busy, _OFFERED_SLOTS)
     links = {(link.source, link.target): LinkLoad(0) for link in _LINKS}
     return Readings(pools, links)
 
 
-def _age(history: 'deque[Readings]') -> Readings:
-    """Return the oldest reading, with its age."""
+def _delay_readings(history: 'deque[Readings]') -> Readings:
+    """Return the oldest readings with their age."""
     oldest = history[0]
     age_s = (len(history) - 1) * STEP_S
     pools = {
--- a/crocusshunt/bench/_registry.py
+++ b/crocusshunt/bench/_registry.py
@@ -1,4 +1,4 @@
-"""Registry of measurements."""
+"""Registry of benchmarks and the measurements they yield."""
 
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
@@ -10,10 +10,12 @@
 class Measurement:
     """One measured figure.
 
-    :param target: greatest good value, None where less is not better or
-        nothing is promised.
-    :param baseline: the same figure of the simplest alternative.
-    :param seed: seed of the workload's randomness.
+    :param name: subject and quantity, joined by a dot.
+    :param target: largest acceptable value (smallest if `is_floor`), None
+        if there is no target.
+    :param baseline: the same quantity of the simplest alternative.
+    :param seed: seed of the random workload.
+    :param is_floor: whether the target is a lower bound.
     """
 
     name: str
@@ -25,7 +27,7 @@
     is_floor: bool = False
 
     def is_miss(self) -> bool:
-        """Tell whether the value misses its target.
+        """Return whether the value misses its target.
 
         >>> Measurement('limit.overshoot', 1, 'requests', target=0).is_miss()
         True
@@ -55,7 +57,7 @@
 
 
 def register_bench(subject: str) -> Callable[[Bench], Bench]:
-    """Return a decorator that registers the measurements of a subject.
+    """Return a decorator that registers the benchmark of a subject.
 
     :param subject: prefix of the measurements' names.
     """
@@ -68,9 +70,9 @@
 
 
 def run_benches(subjects: Iterable[str] = ()) -> Iterator[Measurement]:
-    """Run the registered measurements.
+    """Run the registered benchmarks in the order of their subjects.
 
-    :param subjects: the subjects to run, all if empty.
+    :param subjects: the subjects to run; all if empty.
     """
     wanted = frozenset(subjects)
     for subject, bench in sorted(_BENCHES.items()):
--- a/crocusshunt/bench/_room.py
+++ b/crocusshunt/bench/_slot_simulation.py
@@ -1,4 +1,4 @@
-"""Seeded simulation of gateways that compete for slots of servers."""
+"""Seeded simulation of gateways that compete for server slots."""
 
 import heapq
 import random
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from crocusshunt.bench._room_values import RoomReport, RoomWorkload
+from crocusshunt.bench._slot_workload import SlotReport, SlotWorkload
 from crocusshunt.delivery import (
     ServerLoads,
     choose_server,
@@ -19,16 +19,16 @@
 
 
 class _Events:
-    """Future actions, in the order of their time."""
+    """Event queue, ordered by simulated time in seconds."""
 
     def __init__(self) -> None:
         self.now = float(0)
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._number = 0
+        self._next_number = 0
 
     def add(self, delay: float, action: Callable[[], None]) -> None:
-        self._number += 1
-        entry = (self.now + delay, self._number, action)
+        self._next_number += 1
+        entry = (self.now + delay, self._next_number, action)
         heapq.heappush(self._heap, entry)
 
     def run(self) -> None:
@@ -46,7 +46,7 @@
 
 
 class _Gateway:
-    """Chooses servers with the product's own code."""
+    """Gateway that chooses servers with the production code."""
 
     def __init__(self, fleet: '_Fleet', pool: tuple[Server, ...]) -> None:
         self.fleet = fleet
@@ -63,7 +63,9 @@
             self._schedule()
 
     def send(self, request: _Request) -> bool:
-        untried = [one for one in self.pool if one.name not in request.tried]
+        untried = [
+            server for server in self.pool if server.name not in request.tried
+        ]
         server = choose_server(
             untried,
             self.loads,
@@ -77,19 +79,19 @@
         link_s = self.fleet.workload.link_s
         self.fleet.events.add(
             link_s,
-            lambda: self.fleet.reach(self, server, request),
+            lambda: self.fleet.arrive_at_server(self, server, request),
         )
         return True
 
-    def end(self, server: Server, request: _Request | None) -> None:
+    def finish(self, server: Server, request: _Request | None) -> None:
         self.loads.release(server)
         if request is None:
             self.loads.note_answer(server)
         else:
-            self._shed(server, request)
-        self.pump()
+            self._handle_shed(server, request)
+        self.send_waiting()
 
-    def pump(self) -> None:
+    def send_waiting(self) -> None:
         while self.waiting:
             if self._is_late(self.waiting[0]):
                 self.waiting.popleft()
@@ -103,29 +105,31 @@
     def _schedule(self) -> None:
         if not self._is_scheduled:
             self._is_scheduled = True
-            self.fleet.events.add(self.fleet.workload.retry_s, self._pump_again)
+            self.fleet.events.add(
+                self.fleet.workload.retry_s, self._retry_waiting
+            )
 
-    def _pump_again(self) -> None:
+    def _retry_waiting(self) -> None:
         self._is_scheduled = False
-        self.pump()
+        self.send_waiting()
 
-    def _shed(self, server: Server, request: _Request) -> None:
+    def _handle_shed(self, server: Server, request: _Request) -> None:
         if self.fleet.workload.is_adaptive:
             self.loads.note_shed(server)
         request.tried.add(server.name)
-        is_over = len(request.tried) >= self.fleet.workload.sheds
-        if is_over or not self.send(request):
+        is_exhausted = len(request.tried) >= self.fleet.workload.max_sheds
+        if is_exhausted or not self.send(request):
             request.tried.clear()
             self.waiting.appendleft(request)
             self._schedule()
 
     def _is_late(self, request: _Request) -> bool:
-        waited = self.fleet.events.now - request.arrived_at
-        return waited > self.fleet.workload.deadline_s
+        waited_s = self.fleet.events.now - request.arrived_at
+        return waited_s > self.fleet.workload.deadline_s
 
 
-class _Servers:
-    """Slots in use, as the servers themselves know it."""
+class _ServerSlots:
+    """Actual free slots of each server."""
 
     def __init__(self, pool: tuple[Server, ...]) -> None:
         self._free = {server.name: server.slots for server in pool}
@@ -136,18 +140,18 @@
         self._free[server.name] -= 1
         return True
 
-    def end(self, server: Server) -> None:
+    def finish(self, server: Server) -> None:
         self._free[server.name] += 1
 
 
 class _Fleet:
-    """Gateways and servers of one simulation."""
+    """Gateways, servers and event queue of one simulation."""
 
-    def __init__(self, workload: RoomWorkload, name: str) -> None:
+    def __init__(self, workload: SlotWorkload, name: str) -> None:
         self.workload = workload
         self.events = _Events()
         self.source = random.Random(workload.seed)
-        self.report = RoomReport()
+        self.report = SlotReport()
         is_shared = name == SLOT_SHARES
         self.choose = find_selection_policy(
             'least-in-flight' if is_shared else name
@@ -156,7 +160,7 @@
             Server(f's{number}', 'p', '127.0.0.1:1', 'r', 'd', slots=slots)
             for number, slots in enumerate(workload.slots)
         )
-        self._servers = _Servers(pool)
+        self._server_slots = _ServerSlots(pool)
         shares = _share_slots(pool, workload.gateways) if is_shared else ()
         self._gateways = tuple(
             _Gateway(self, shares[number] if is_shared else pool)
@@ -169,62 +173,63 @@
             self.events.add(arrival, partial(gateway.arrive, service_s))
         self.events.run()
 
-    def reach(
+    def arrive_at_server(
         self,
         gateway: _Gateway,
         server: Server,
         request: _Request,
     ) -> None:
         link_s = self.workload.link_s
-        if not self._servers.start(server):
-            self.events.add(link_s, lambda: gateway.end(server, request))
+        if not self._server_slots.start(server):
+            self.events.add(link_s, lambda: gateway.finish(server, request))
             return
-        waited = self.events.now - request.arrived_at - link_s
-        self.report.note_wait(waited)
+        waited_s = self.events.now - request.arrived_at - link_s
+        self.report.record_wait(waited_s)
         self.events.add(
             request.service_s,
             lambda: self._finish(gateway, server),
         )
 
     def _finish(self, gateway: _Gateway, server: Server) -> None:
-        self._servers.end(server)
+        self._server_slots.finish(server)
         self.events.add(
             self.workload.link_s,
-            lambda: gateway.end(server, None),
+            lambda: gateway.finish(server, None),
         )
 
 
-def draw_arrivals(workload: RoomWorkload) -> Iterator[tuple[float, float]]:
-    """Yield the time of each arrival and its time at a server.
+def draw_arrivals(workload: SlotWorkload) -> Iterator[tuple[float, float]]:
+    """Yield the arrival time and service time of each request, in seconds.
 
-    Every way to choose sees the same work.
+    All selection policies get the same workload.
     """
     source = random.Random(workload.seed)
     arrival = float(0)
     for _ in range(workload.requests):
-        arrival += source.expovariate(workload.per_second)
+        arrival += source.expovariate(workload.requests_per_s)
         yield arrival, source.expovariate(1 / workload.service_s)
 
 
-def simulate_room(workload: RoomWorkload, name: str) -> RoomReport:
-    """Return what requests see when servers are chosen in one way.
+def simulate_slots(workload: SlotWorkload, name: str) -> SlotReport:
+    """Return the report of a workload under one selection policy.
 
-    :param name: a registered choice, or slot shares.
+    :param name: name of a registered selection policy, or `slot-shares`, which
+        divides the slots between the gateways.
     """
     fleet = _Fleet(workload, name)
     fleet.offer()
     return fleet.report
 
 
-def simulate_ideal(workload: RoomWorkload) -> RoomReport:
-    """Return what requests see with one queue that knows every slot."""
-    report = RoomReport()
+def simulate_shared_queue(workload: SlotWorkload) -> SlotReport:
+    """Return the report of a workload with one queue for all slots."""
+    report = SlotReport()
     free_at = [float(0) for _ in range(sum(workload.slots))]
     for arrival, service_s in draw_arrivals(workload):
         report.offered += 1
         starts_at = max(arrival, heapq.heappop(free_at))
         heapq.heappush(free_at, starts_at + service_s)
-        report.note_wait(starts_at - arrival)
+        report.record_wait(starts_at - arrival)
     return report
 
 
--- a/crocusshunt/bench/capacity.py
+++ b/crocusshunt/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Slopes behind docs/CAPACITY.md: memory, processor time and bytes."""
+"""Memory, CPU time and bytes per unit of load, used in docs/CAPACITY.md."""
 
 import asyncio
 import os
@@ -38,10 +38,10 @@
 _MESSAGES = 2_000
 _ROWS = 20_000
 _CHANGES = 50
-_KIB_A_MB = 1024
+_KIB_PER_MIB = 1024
 _MICROSECONDS = 1_000_000
 _PERCENT = 100
-_ENDS = 2
+_ENDPOINTS_PER_EXCHANGE = 2
 _CONTROLLER = """[host]
 name = h1
 region = addis
@@ -54,7 +54,7 @@
 
 @register_bench('capacity')
 def measure_capacity() -> Iterator[Measurement]:
-    """Measure the slopes that the capacity page multiplies."""
+    """Measure the costs per unit that docs/CAPACITY.md multiplies."""
     yield from _measure_controller()
     yield from asyncio.Runner(loop_factory=create_loop).run(
         _measure_messages(),
@@ -96,7 +96,7 @@
 def _read_memory_mb(pid: int) -> float:
     status = Path(f'/proc/{pid}/status').read_text(encoding='utf-8')
     line = next(row for row in status.splitlines() if 'VmRSS' in row)
-    return int(line.split()[1]) / _KIB_A_MB
+    return int(line.split()[1]) / _KIB_PER_MIB
 
 
 def _read_cpu_seconds(pid: int) -> float:
@@ -121,7 +121,7 @@
     spent = time.process_time() - before
     requester.close()
     await replier.stop()
-    cost = spent / _MESSAGES / _ENDS * _MICROSECONDS
+    cost = spent / _MESSAGES / _ENDPOINTS_PER_EXCHANGE * _MICROSECONDS
     return (Measurement('capacity.message_cpu', cost, 'us a message and end'),)
 
 
--- a/crocusshunt/bench/configuration.py
+++ b/crocusshunt/bench/configuration.py
@@ -1,4 +1,4 @@
-"""Spread of changes, withdrawals, and an outage of the store."""
+"""Benchmarks of configuration propagation, withdrawals and store outages."""
 
 import asyncio
 import random
@@ -19,12 +19,12 @@
 _SEED = 41
 _APIS = 6
 _EVIDENCE_S = 4
-_SETTLED_S = 15
+_SETTLE_S = 15
 _STEADY_S = 30
 _OUTAGE_S = 3600
 _OUTAGE_HOSTS = 6
 _STEP_S = 0.01
-_GIVE_UP_S = 60
+_WAIT_TIMEOUT_S = 60
 _ROWS = 20_000
 _APIS_OF_LARGE_FLEET = 70
 _HOSTS_OF_LARGE_FLEET = 1800
@@ -32,21 +32,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Spread:
+class _PropagationFigures:
     propagation_s: float
     withdrawal_s: float
     messages: int
-    octets: float
-    reads: float
+    busiest_bytes_per_s: float
+    store_calls_per_s: float
 
 
-def _first_rows(fleet: SpreadFleet, witnesses: int) -> tuple[Row, ...]:
-    seats = (
-        Witness(f'w{place}', address, 'addis', 'addis-a')
-        for place, address in enumerate(fleet.apis[:witnesses])
+def _create_first_rows(fleet: SpreadFleet, witnesses: int) -> tuple[Row, ...]:
+    witness_rows = (
+        Witness(f'w{index}', address, 'addis', 'addis-a')
+        for index, address in enumerate(fleet.apis[:witnesses])
     )
     domain = FailureDomain('addis-a', 'addis')
-    return (domain, Customer('court', 10, 10), _KEY, *seats)
+    return (domain, Customer('court', 10, 10), _KEY, *witness_rows)
 
 
 async def _start(hosts: int, witnesses: int) -> SpreadFleet:
@@ -54,12 +54,12 @@
     fleet = SpreadFleet(SpreadSettings(hosts, _APIS))
     fleet.start()
     await asyncio.sleep(1)
-    await fleet.accept('c1', *_first_rows(fleet, witnesses))
-    await asyncio.sleep(_SETTLED_S)
+    await fleet.accept('c1', *_create_first_rows(fleet, witnesses))
+    await asyncio.sleep(_SETTLE_S)
     return fleet
 
 
-def _is_honoured(feed: Feed) -> bool:
+def _is_accepted(feed: Feed) -> bool:
     key = feed.configuration.tables.find(Key, _KEY.name)
     if key is None or key.state is KeyState.withdrawn:
         return False
@@ -68,39 +68,39 @@
     return feed.measure_evidence_age() <= _EVIDENCE_S
 
 
-async def _measure_spread(hosts: int) -> _Spread:
+async def _measure_propagation(hosts: int) -> _PropagationFigures:
     fleet = await _start(hosts, _APIS - 1)
-    octets = fleet.network.transferred_bytes.copy()
+    bytes_before = fleet.network.transferred_bytes.copy()
     calls = fleet.store.calls
     await asyncio.sleep(_STEADY_S)
-    sent = fleet.network.transferred_bytes - octets
+    sent = fleet.network.transferred_bytes - bytes_before
     busiest = max(
         sent[one] + sent[f'gateway-{one}'] for one in fleet.controllers
     )
-    reads = (fleet.store.calls - calls) / _STEADY_S
+    store_calls_per_s = (fleet.store.calls - calls) / _STEADY_S
     await fleet.accept('c2', replace(_KEY, state=KeyState.withdrawn))
     before = fleet.network.messages
-    withdrawal = await _wait(
-        lambda: not any(_is_honoured(feed) for feed in fleet.gateways),
+    withdrawal = await _wait_until(
+        lambda: not any(_is_accepted(feed) for feed in fleet.gateways),
     )
-    spread = await _wait(
+    propagation = await _wait_until(
         lambda: all(
             feed.configuration.revision == 2 for feed in fleet.gateways
         ),
     )
     await fleet.stop()
-    return _Spread(
-        propagation_s=withdrawal + spread,
+    return _PropagationFigures(
+        propagation_s=withdrawal + propagation,
         withdrawal_s=withdrawal,
         messages=fleet.network.messages - before,
-        octets=busiest / _STEADY_S,
-        reads=reads,
+        busiest_bytes_per_s=busiest / _STEADY_S,
+        store_calls_per_s=store_calls_per_s,
     )
 
 
-async def _wait(predicate: Callable[[], bool]) -> float:
+async def _wait_until(predicate: Callable[[], bool]) -> float:
     steps = 0
-    while not predicate() and steps * _STEP_S < _GIVE_UP_S:
+    while not predicate() and steps * _STEP_S < _WAIT_TIMEOUT_S:
         await asyncio.sleep(_STEP_S)
         steps += 1
     return steps * _STEP_S
@@ -112,7 +112,7 @@
     refused = 0
     for _ in range(_OUTAGE_S):
         await asyncio.sleep(1)
-        refused += sum(not _is_honoured(feed) for feed in fleet.gateways)
+        refused += sum(not _is_accepted(feed) for feed in fleet.gateways)
     await fleet.stop()
     return refused
 
@@ -121,8 +121,8 @@
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     keys = [
-        Key(f'k{place}', 'court', digest_key(f'ck_k{place}_00'))
-        for place in range(_ROWS)
+        Key(f'k{index}', 'court', digest_key(f'ck_k{index}_00'))
+        for index in range(_ROWS)
     ]
     held = Configuration(1, '', Tables().put(*keys))
     keys.clear()
@@ -145,16 +145,21 @@
 
 @register_bench('config')
 def measure_configuration() -> Iterator[Measurement]:
-    """Measure the spread at two sizes, an outage and the cost of rows."""
+    """Measure propagation with 10 and 100 hosts, an outage and row memory."""
     for hosts in (10, 100):
-        spread = simulate(_measure_spread(hosts))
+        propagation = simulate(_measure_propagation(hosts))
         name = f'config.{hosts}_hosts'
         figures = (
-            ('propagation', spread.propagation_s, 's', 15),
-            ('withdrawal', spread.withdrawal_s, 's', 5),
-            ('messages', spread.messages, 'messages', None),
-            ('bytes_per_host', spread.octets, 'bytes/s', 15_000),
-            ('store_calls', spread.reads, 'calls/s', 2000),
+            ('propagation', propagation.propagation_s, 's', 15),
+            ('withdrawal', propagation.withdrawal_s, 's', 5),
+            ('messages', propagation.messages, 'messages', None),
+            (
+                'bytes_per_host',
+                propagation.busiest_bytes_per_s,
+                'bytes/s',
+                15_000,
+            ),
+            ('store_calls', propagation.store_calls_per_s, 'calls/s', 2000),
         )
         for suffix, value, unit, target in figures:
             yield Measurement(
--- a/crocusshunt/bench/delivery.py
+++ b/crocusshunt/bench/delivery.py
@@ -1,4 +1,4 @@
-"""Measurements of delivery: added latency, room, retries, stops."""
+"""Benchmarks of delivery: latency, server choice, retries and stops."""
 
 import asyncio
 from collections.abc import Awaitable, Iterable, Iterator
@@ -10,12 +10,16 @@
     measure_worst_customer,
 )
 from crocusshunt.bench._delivery_safety import (
-    measure_double_runs,
-    measure_stops,
+    measure_duplicate_runs,
+    measure_cut_requests,
 )
 from crocusshunt.bench._registry import Measurement, register_bench
-from crocusshunt.bench._room import SLOT_SHARES, simulate_ideal, simulate_room
-from crocusshunt.bench._room_values import RoomWorkload
+from crocusshunt.bench._slot_simulation import (
+    SLOT_SHARES,
+    simulate_shared_queue,
+    simulate_slots,
+)
+from crocusshunt.bench._slot_workload import SlotWorkload
 from crocusshunt.delivery import list_selection_policies
 from crocusshunt.services import create_loop
 
@@ -24,13 +28,13 @@
 
 @register_bench('delivery')
 def measure_delivery() -> Iterable[Measurement]:
-    """Measure every promise of delivery that has a figure."""
+    """Measure latency, server choice, retries, fairness, stops and memory."""
     yield from _run(measure_latency())
-    yield from _measure_room()
+    yield from _measure_slots()
     yield from _run(measure_amplification())
     yield from _run(measure_worst_customer())
-    yield from _run(measure_stops())
-    yield from _run(measure_double_runs())
+    yield from _run(measure_cut_requests())
+    yield from _run(measure_duplicate_runs())
     yield from _run(measure_waiting())
 
 
@@ -44,9 +48,9 @@
         return runner.run(run())
 
 
-def _measure_room() -> Iterator[Measurement]:
-    workload = RoomWorkload(seed=_SEED)
-    ideal = simulate_ideal(workload)
+def _measure_slots() -> Iterator[Measurement]:
+    workload = SlotWorkload(seed=_SEED)
+    ideal = simulate_shared_queue(workload)
     yield Measurement(
         'delivery.room.ideal.p99_wait',
         round(ideal.p99_wait_ms, 1),
@@ -54,7 +58,7 @@
         seed=_SEED,
     )
     adaptive = replace(workload, is_adaptive=True)
-    ways = [
+    variants = [
         *(
             (name, name, workload)
             for name in (*list_selection_policies(), SLOT_SHARES)
@@ -64,11 +68,11 @@
             for name in list_selection_policies()
         ),
     ]
-    for name, choice, offered in ways:
-        seen = simulate_room(offered, choice)
+    for name, policy, offered in variants:
+        report = simulate_slots(offered, policy)
         yield Measurement(
             f'delivery.room.{name}.p99_wait',
-            round(seen.p99_wait_ms, 1),
+            round(report.p99_wait_ms, 1),
             'ms',
             target=round(ideal.p99_wait_ms * 1.5, 1),
             baseline=round(ideal.p99_wait_ms, 1),
@@ -76,14 +80,14 @@
         )
         yield Measurement(
             f'delivery.room.{name}.refused',
-            round(seen.refused_share, 4),
+            round(report.refused_ratio, 4),
             'share',
-            baseline=round(ideal.refused_share, 4),
+            baseline=round(ideal.refused_ratio, 4),
             seed=_SEED,
         )
         yield Measurement(
             f'delivery.room.{name}.sent_per_request',
-            round(seen.sent_per_request, 3),
+            round(report.sent_per_request, 3),
             'requests',
             seed=_SEED,
         )
--- a/crocusshunt/bench/limits.py
+++ b/crocusshunt/bench/limits.py
@@ -1,4 +1,4 @@
-"""Measurements of the customers' limits."""
+"""Benchmarks of the customers' rate limits."""
 
 import asyncio
 import random
@@ -43,14 +43,14 @@
 _ACCOUNTS = 2000
 _PERCENT = 100
 
-Act = Callable[[LimitFleet], Coroutine[Any, Any, None]]
+FaultInjector = Callable[[LimitFleet], Coroutine[Any, Any, None]]
 
 
 @dataclass(frozen=True, slots=True)
-class _Trial:
+class _Scenario:
     layout: Layout
     loads: tuple[tuple[Customer, float], ...]
-    act: Act | None = None
+    inject_fault: FaultInjector | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,8 +61,8 @@
     message_bytes: int
 
 
-_TROSARINA = Layout(_HOSTS)
-_ABAY = Layout(
+_NEAR_REGIONS = Layout(_HOSTS)
+_DISTANT_REGIONS = Layout(
     _HOSTS,
     ('addis', 'dire', 'bahir'),
     region_delay_s=0.055,
@@ -83,7 +83,7 @@
     fleet.platform.switches.is_down = True
 
 
-_ACTS: dict[str, Act | None] = {
+_FAULTS: dict[str, FaultInjector | None] = {
     'normal': None,
     'dead_host': _kill_home,
     'store_down': _stop_store,
@@ -92,39 +92,41 @@
 
 @register_bench('limit')
 def measure_limits() -> Iterator[Measurement]:
-    """Measure refusals, overshoot, fairness, speed and slopes."""
-    yield from _measure_refusals('trosarina', _TROSARINA)
-    yield from _measure_refusals('abay', _ABAY)
+    """Measure refusals, overshoot, fairness, speed, memory and traffic."""
+    yield from _measure_refusals('trosarina', _NEAR_REGIONS)
+    yield from _measure_refusals('abay', _DISTANT_REGIONS)
     yield from _measure_worst_customer()
     yield _measure_decisions()
     yield _measure_memory()
     yield from _measure_messages()
 
 
-def _measure_refusals(user: str, layout: Layout) -> Iterator[Measurement]:
+def _measure_refusals(
+    scenario_name: str, layout: Layout
+) -> Iterator[Measurement]:
     overshoot = 0
     for burst in _BURSTS:
         customer = Customer('cellar', _RATE, burst)
-        for condition, act in _ACTS.items():
+        for condition, inject_fault in _FAULTS.items():
             load = (customer, _RATE * _LOAD_RATIO)
-            outcome = _run(_Trial(layout, (load,), act))
+            outcome = _run(_Scenario(layout, (load,), inject_fault))
             tally = outcome.tallies[customer.name]
             arrivals = outcome.arrivals[customer.name]
             overshoot += count_overshoot(customer, tally.admitted)
-            name = f'{user}.{condition}.burst_{burst}'
-            ideal = _refuse_centrally(customer, arrivals)
+            name = f'{scenario_name}.{condition}.burst_{burst}'
+            ideal = _compute_central_refusals(customer, arrivals)
             yield Measurement(
                 f'limit.wrongful_refusals.{name}',
                 round(tally.measure_refusals(), 3),
                 '%',
                 target=round(1.2 * ideal + 0.5, 3),
-                baseline=round(_refuse_by_split(customer, arrivals), 3),
+                baseline=round(_compute_split_refusals(customer, arrivals), 3),
                 seed=_SEED,
             )
             if condition == 'normal':
                 yield _measure_wait(name, tally)
     yield Measurement(
-        f'limit.overshoot.{user}',
+        f'limit.overshoot.{scenario_name}',
         overshoot,
         'requests',
         target=0,
@@ -134,10 +136,10 @@
 
 def _measure_wait(name: str, tally: Tally) -> Measurement:
     waits = sorted(tally.waits)
-    worst = waits[len(waits) * 99 // _PERCENT]
+    p99_s = waits[len(waits) * 99 // _PERCENT]
     return Measurement(
         f'limit.wait_p99.{name}',
-        round(worst * 1000, 1),
+        round(p99_s * 1000, 1),
         'ms',
         seed=_SEED,
     )
@@ -145,11 +147,15 @@
 
 def _measure_worst_customer() -> Iterator[Measurement]:
     greedy = Customer('lager', _RATE, 40)
-    modest = tuple(Customer(f'cellar-{one}', 5, 10) for one in range(3))
-    quiet = tuple((one, one.rate * 0.5) for one in modest)
-    alone = _run(_Trial(_TROSARINA, quiet))
-    together = _run(_Trial(_TROSARINA, (*quiet, (greedy, _RATE * 5))))
-    names = [one.name for one in modest]
+    modest_customers = tuple(
+        Customer(f'cellar-{one}', 5, 10) for one in range(3)
+    )
+    modest_loads = tuple((one, one.rate * 0.5) for one in modest_customers)
+    alone = _run(_Scenario(_NEAR_REGIONS, modest_loads))
+    together = _run(
+        _Scenario(_NEAR_REGIONS, (*modest_loads, (greedy, _RATE * 5)))
+    )
+    names = [one.name for one in modest_customers]
     yield Measurement(
         'limit.worst_customer',
         max(together.tallies[one].measure_refusals() for one in names),
@@ -171,7 +177,7 @@
     ledger = HomeLedger(clock)
     customer = Customer('cellar', 1_000_000, 1_000_000)
     queue = AdmissionQueue(BorrowSettings(ahead_s=0.1), customer.rate)
-    tenure = LendingTerm(1, 0)
+    term = LendingTerm(1, 0)
     started_at = time.process_time()
     for ticket in range(_DECISIONS):
         clock.advance(0.0001)
@@ -179,7 +185,7 @@
         if queue.arrive(ticket, now, 1) is not AdmissionVerdict.admitted:
             request = queue.plan(f'{ticket}', now)
             if request is not None:
-                queue.receive(ledger.lend(customer, request, tenure), now)
+                queue.receive(ledger.lend(customer, request, term), now)
     spent_s = time.process_time() - started_at
     return Measurement(
         'limit.decisions',
@@ -196,11 +202,11 @@
     for number in range(_ACCOUNTS):
         customer = Customer(f'customer-{number}', _RATE, 40)
         ledger.lend(customer, LoanRequest('one', 1), LendingTerm(1, 0))
-    grown = tracemalloc.get_traced_memory()[0] - before
+    growth = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     return Measurement(
         'limit.home_bytes',
-        round(grown / _ACCOUNTS),
+        round(growth / _ACCOUNTS),
         'bytes a customer at its home',
         seed=_SEED,
     )
@@ -209,7 +215,7 @@
 def _measure_messages() -> Iterator[Measurement]:
     customer = Customer('cellar', _RATE * 4, 200)
     for per_s in (1, _RATE, _RATE * 3):
-        outcome = _run(_Trial(_TROSARINA, ((customer, per_s),)))
+        outcome = _run(_Scenario(_NEAR_REGIONS, ((customer, per_s),)))
         yield Measurement(
             f'limit.messages.at_{per_s}_per_s',
             round(outcome.messages / _DURATION_S, 2),
@@ -224,7 +230,7 @@
         )
 
 
-def _run(trial: _Trial) -> _Outcome:
+def _run(scenario: _Scenario) -> _Outcome:
     source = random.Random(_SEED)
     arrivals = {
         customer.name: create_arrivals(
@@ -232,24 +238,28 @@
             _HOSTS,
             source,
         )
-        for customer, per_s in trial.loads
+        for customer, per_s in scenario.loads
     }
-    return simulate(_register_step(trial, arrivals))
+    return simulate(_run_scenario(scenario, arrivals))
 
 
-async def _register_step(
-    trial: _Trial,
+async def _run_scenario(
+    scenario: _Scenario,
     arrivals: dict[str, tuple[Arrival, ...]],
 ) -> _Outcome:
-    customers = tuple(customer for customer, _ in trial.loads)
-    fleet = LimitFleet(trial.layout, customers, _SEED)
+    customers = tuple(customer for customer, _ in scenario.loads)
+    fleet = LimitFleet(scenario.layout, customers, _SEED)
     fleet.start()
-    acting = asyncio.create_task(trial.act(fleet)) if trial.act else None
+    fault_task = (
+        asyncio.create_task(scenario.inject_fault(fleet))
+        if scenario.inject_fault
+        else None
+    )
     tallies = await asyncio.gather(
         *(send_requests(fleet, name, sent) for name, sent in arrivals.items()),
     )
-    if acting is not None:
-        await acting
+    if fault_task is not None:
+        await fault_task
     fleet.stop()
     return _Outcome(
         dict(zip(arrivals, tallies, strict=True)),
@@ -259,19 +269,22 @@
     )
 
 
-def _refuse_centrally(
+def _compute_central_refusals(
     customer: Customer,
     arrivals: tuple[Arrival, ...],
     share: float = 1,
 ) -> float:
-    """Return the percentage that one ideal bucket without a queue refuses."""
+    """Return the percentage refused by one central bucket without a queue.
+
+    :param share: part of the rate and of the burst that the bucket has.
+    """
     level = customer.burst * share
-    before: float = 0
+    previous: float = 0
     refused = 0
     for arrival in arrivals:
-        gained = (arrival.at - before) * customer.rate * share
+        gained = (arrival.at - previous) * customer.rate * share
         level = min(customer.burst * share, level + gained)
-        before = arrival.at
+        previous = arrival.at
         if level < 1:
             refused += 1
         else:
@@ -279,13 +292,15 @@
     return _PERCENT * refused / max(1, len(arrivals))
 
 
-def _refuse_by_split(
+def _compute_split_refusals(
     customer: Customer,
     arrivals: tuple[Arrival, ...],
 ) -> float:
     refused: float = 0
     for host in range(_HOSTS):
-        own = tuple(one for one in arrivals if one.host == host)
+        own_arrivals = tuple(one for one in arrivals if one.host == host)
         share = 1 / _HOSTS
-        refused += _refuse_centrally(customer, own, share) * len(own)
+        refused += _compute_central_refusals(
+            customer, own_arrivals, share
+        ) * len(own_arrivals)
     return refused / max(1, len(arrivals))
--- a/crocusshunt/bench/membership.py
+++ b/crocusshunt/bench/membership.py
@@ -1,4 +1,4 @@
-"""Cost and speed of finding out which hosts live."""
+"""Benchmarks of the cost and speed of failure detection between hosts."""
 
 import asyncio
 import random
@@ -34,17 +34,18 @@
 _REGIONS = 3
 _DOMAINS = 6
 _SETTLE_S = 5
-_WATCH_S = 40
+_DETECTION_TIMEOUT_S = 40
 _REJOIN_S = 5
 _BYTES_A_SECOND = 15_000
-# The processor time of one end of an exchange, measured by `capacity`.
-_END_US = 230
+# CPU time of one endpoint per exchange, measured by the benchmark
+# `capacity`.
+_ENDPOINT_CPU_US = 230
 _MICROSECONDS = 1_000_000
 _PERCENT = 100
 
 
 class _Fleet:
-    """Hosts that exchange messages in memory, under one clock."""
+    """Hosts that exchange messages in memory and share one clock."""
 
     def __init__(self, size: int) -> None:
         self.clock = ManualClock()
@@ -64,7 +65,8 @@
                 DetectorSettings(),
                 source,
             )
-            # The fleet has been up for long: all is known and passed on.
+            # Start in the steady state: each host knows all members and has no
+            # updates left to gossip.
             table.merge_updates(members)
             table.gossip = GossipQueue()
 
@@ -94,7 +96,7 @@
                     await agent.probe_lost()
         self.clock.advance(1)
 
-    def count_unaware(self, name: str) -> int:
+    def count_unaware_hosts(self, name: str) -> int:
         return sum(
             agent.table.members[name].status < MemberStatus.unreachable
             for other, agent in self.agents.items()
@@ -102,7 +104,7 @@
         )
 
     def count_traffic(self) -> tuple[float, float]:
-        """Return the messages and bytes sent and received a host."""
+        """Return the mean messages and bytes sent and received per host."""
         agents = [one.traffic for one in self.agents.values()]
         return (
             mean(one.messages.total() for one in agents),
@@ -112,7 +114,10 @@
 
 @register_bench('member')
 def measure_membership() -> Iterator[Measurement]:
-    """Measure detection and traffic at several sizes, and the slope."""
+    """Measure detection and traffic at several fleet sizes.
+
+    The slope is the additional traffic for each additional host.
+    """
     rates = []
     for size in _SIZES:
         runner = asyncio.Runner()
@@ -120,8 +125,8 @@
         runner.close()
         rates.append(figures[1].value)
         yield from figures
-    grown = _SIZES[-1] - _SIZES[-2]
-    slope = (rates[-1] - rates[-2]) / grown
+    growth = _SIZES[-1] - _SIZES[-2]
+    slope = (rates[-1] - rates[-2]) / growth
     yield Measurement(
         'member.bytes.slope',
         round(slope, 4),
@@ -141,20 +146,24 @@
         await fleet.run_second()
     messages, sent = fleet.count_traffic()
     started = process_time()
-    victim = next(iter(fleet.agents))
-    fleet.down.add(victim)
-    detected_s = _WATCH_S
-    for second in range(_WATCH_S):
+    failed_host = next(iter(fleet.agents))
+    fleet.down.add(failed_host)
+    detected_s = _DETECTION_TIMEOUT_S
+    for second in range(_DETECTION_TIMEOUT_S):
         await fleet.run_second()
-        if not fleet.count_unaware(victim):
+        if not fleet.count_unaware_hosts(failed_host):
             detected_s = second + 1
             break
     spent_us = (process_time() - started) * _MICROSECONDS
     host_seconds = size * detected_s
     messages = (fleet.count_traffic()[0] - messages) / detected_s
     rate = (fleet.count_traffic()[1] - sent) / detected_s
-    decide_us = spent_us / host_seconds
-    core = (messages / 2 * _END_US + decide_us) / _MICROSECONDS * _PERCENT
+    detection_us = spent_us / host_seconds
+    core = (
+        (messages / 2 * _ENDPOINT_CPU_US + detection_us)
+        / _MICROSECONDS
+        * _PERCENT
+    )
     figures = (
         (f'member.detect.{size}', detected_s, 's until all hosts know', None),
         (f'member.bytes.{size}', rate, 'bytes/s a host', _BYTES_A_SECOND),
--- a/crocusshunt/bench/steering.py
+++ b/crocusshunt/bench/steering.py
@@ -1,4 +1,4 @@
-"""Look-ups, shifts, drains and load between regions."""
+"""Benchmarks of look-ups, shifts, drains and balancing between regions."""
 
 import tracemalloc
 from collections.abc import Callable, Iterator
@@ -9,8 +9,8 @@
 from time import process_time
 
 from crocusshunt.bench import Measurement, register_bench
-from crocusshunt.bench._planned import (
-    drain_host,
+from crocusshunt.bench._operations import (
+    simulate_drain,
     measure_link_excess,
     measure_shift_excess,
 )
@@ -35,7 +35,7 @@
 _LISTED_HOSTS = 4
 _MICROSECONDS = 1_000_000
 _MILLISECONDS = 1_000
-_LOOKUPS_A_HOST = 500
+_LOOKUPS_PER_HOST_S = 500
 _CONTROL_SHARE = 0.014
 _BLOCK_BYTES = 8
 _IPV4 = 4
@@ -45,15 +45,15 @@
 
 @register_bench('steer')
 def measure_steering() -> Iterator[Measurement]:
-    """Measure look-ups and the decisions between regions."""
+    """Measure look-ups, drains and decisions about load between regions."""
     yield from _measure_decisions()
     yield from _measure_drain()
     before = _read_resident_bytes()
     table = _create_blocks()
-    held = _read_resident_bytes() - before
+    allocated_bytes = _read_resident_bytes() - before
     yield Measurement(
         'steer.block_bytes',
-        round(held / _BLOCKS, 2),
+        round(allocated_bytes / _BLOCKS, 2),
         'bytes',
         target=_BLOCK_BYTES,
         baseline=round(_measure_dictionary(), 2),
@@ -65,7 +65,7 @@
 
 def _measure_decisions() -> Iterator[Measurement]:
     damped = simulate_server_loss(DampedPolicy())
-    plain = simulate_server_loss(split_in_proportion)
+    baseline_outcome = simulate_server_loss(split_in_proportion)
     excess = max(measure_shift_excess(_SEED), measure_link_excess(_SEED))
     figures = (
         ('steer.cap_excess', excess, 'share or Mbit/s', 0, None),
@@ -74,23 +74,23 @@
             damped.overload,
             'slot-seconds',
             0,
-            plain.overload,
+            baseline_outcome.overload,
         ),
         (
             'steer.settle',
             damped.settle_steps,
             'steps of 5 s',
             None,
-            plain.settle_steps,
+            baseline_outcome.settle_steps,
         ),
         (
             'steer.oscillation',
             damped.reversals,
             'reversals',
             None,
-            plain.reversals,
+            baseline_outcome.reversals,
         ),
-        ('steer.served', damped.served, 'share', None, plain.served),
+        ('steer.served', damped.served, 'share', None, baseline_outcome.served),
     )
     for name, value, unit, target, baseline in figures:
         base = None if baseline is None else round(baseline, 3)
@@ -106,7 +106,7 @@
 
 def _measure_drain() -> Iterator[Measurement]:
     bounds = DrainBounds(propagation_s=15, lifetime_s=5, deadline_s=30)
-    outcomes = [drain_host(bounds, seed) for seed in range(_DRAINS)]
+    outcomes = [simulate_drain(bounds, seed) for seed in range(_DRAINS)]
     longest_s = bounds.propagation_s + bounds.lifetime_s + bounds.deadline_s
     yield Measurement(
         'steer.drain_seconds',
@@ -131,7 +131,7 @@
 
 
 def _create_blocks() -> BlockTable:
-    """Return blocks of many lengths, in the order of a table's rows."""
+    """Return a table of random IPv4 blocks with /20 to /24 prefixes."""
     source = Random(_SEED)
     table = BlockTable()
     sites = [f'site-{number:03d}' for number in range(_SITES)]
@@ -144,21 +144,23 @@
 
 
 def _measure_dictionary() -> float:
-    """Return the bytes a block of a dictionary by prefix."""
+    """Return the bytes per block of a dictionary keyed by prefix."""
     entries = 100_000
     tracemalloc.start()
-    plain = {(_IPV4, 24, number << 8): 'site' for number in range(entries)}
-    held, _ = tracemalloc.get_traced_memory()
+    entries_by_prefix = {
+        (_IPV4, 24, number << 8): 'site' for number in range(entries)
+    }
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held / len(plain)
+    return allocated_bytes / len(entries_by_prefix)
 
 
 def _measure_updates(table: BlockTable) -> Iterator[Measurement]:
     source = Random(_SEED)
-    places = [source.getrandbits(24) << 8 for _ in range(_UPDATES)]
+    prefixes = [source.getrandbits(24) << 8 for _ in range(_UPDATES)]
 
     def update() -> None:
-        for first in places:
+        for first in prefixes:
             table.put_prefix((_IPV4, 24), first, 'site-001')
 
     yield Measurement(
@@ -199,7 +201,7 @@
         'steer.lookups',
         round(_LOOKUPS / spent_s),
         'look-ups a second a core, without HTTP',
-        target=round(_LOOKUPS_A_HOST / _CONTROL_SHARE),
+        target=round(_LOOKUPS_PER_HOST_S / _CONTROL_SHARE),
         seed=_SEED,
         is_floor=True,
     )
