--- a/crocusshunt/bench/_delivery_cost.py
+++ b/crocusshunt/bench/_delivery_cost.py
@@ -16,9 +16,10 @@
 
 _REQUESTS = 3000
 _WARM_UP = 300
-_WAITING = 800
+_WAITING_REQUESTS = 800
 _SLOTS = 4
-_HISTOGRAM = (1, 60_000_000, 3)
+# Lowest and highest value in microseconds, and significant digits.
+_HISTOGRAM_RANGE = (1, 60_000_000, 3)
 _MICROSECONDS = 1_000_000
 _MILLISECONDS = 1000
 
@@ -75,7 +76,7 @@
             'bare': _create_call(site, bare.url),
             'gateway': _create_call(site, site.url),
         }
-        latencies = {name: HdrHistogram(*_HISTOGRAM) for name in calls}
+        latencies = {name: HdrHistogram(*_HISTOGRAM_RANGE) for name in calls}
         cpu_s = dict.fromkeys(calls, float(0))
         for number in range(_WARM_UP + _REQUESTS):
             for name, call in calls.items():
@@ -101,11 +102,11 @@
         writers = [await _open_request(site) for _ in range(_SLOTS)]
         await asyncio.sleep(0.2)
         before = _read_resident_bytes()
-        for _ in range(_WAITING):
+        for _ in range(_WAITING_REQUESTS):
             writers.append(await _open_request(site))
         await asyncio.sleep(0.2)
         held = site.gateways[0].in_flight
-        growth = (_read_resident_bytes() - before) / _WAITING
+        growth = (_read_resident_bytes() - before) / _WAITING_REQUESTS
         for writer in writers:
             writer.close()
         await asyncio.sleep(0.2)
--- a/crocusshunt/bench/_delivery_load.py
+++ b/crocusshunt/bench/_delivery_load.py
@@ -13,7 +13,8 @@
 from crocusshunt.standin import Fault
 
 _SEED = 5
-_HISTOGRAM = (1, 60_000_000, 3)
+# Lowest and highest value in microseconds, and significant digits.
+_HISTOGRAM_RANGE = (1, 60_000_000, 3)
 _MICROSECONDS = 1_000_000
 _MILLISECONDS = 1000
 
@@ -109,7 +110,7 @@
 
 
 async def _time_calls(site: Site, count: int) -> HdrHistogram:
-    latencies = HdrHistogram(*_HISTOGRAM)
+    latencies = HdrHistogram(*_HISTOGRAM_RANGE)
     for number in range(count):
         started = time.perf_counter()
         path = f'/verify/{number}'
--- a/crocusshunt/bench/_operations.py
+++ b/crocusshunt/bench/_operations.py
@@ -26,7 +26,7 @@
 _CALLERS = 300
 _HOST_SHARE = 0.3
 _MEAN_REQUEST_S = 0.4
-_PAUSE_S = 0.5
+_MEAN_REQUEST_INTERVAL_S = 0.5
 _START_CHANCE = 0.05
 _STOP_CHANCE = 0.02
 _LIST_UPDATE_CHANCE = 0.2
@@ -146,4 +146,4 @@
             if uses_host:
                 spent_s = source.expovariate(1 / _MEAN_REQUEST_S)
                 yield now_s + min(spent_s, bounds.deadline_s)
-            now_s += source.expovariate(1 / _PAUSE_S)
+            now_s += source.expovariate(1 / _MEAN_REQUEST_INTERVAL_S)
--- a/crocusshunt/bench/_regions.py
+++ b/crocusshunt/bench/_regions.py
@@ -24,7 +24,7 @@
 _OFFERED_SLOTS = 12
 _LOSS_STEP = 10
 _STEPS = 120
-_NOTICEABLE = 0.01
+_NOTICEABLE_SHARE = 0.01
 _ZERO = float(0)
 _LINKS = tuple(
     Link(f'{source}-{target}', source, target, 4000, 55)
@@ -115,7 +115,7 @@
         loads, inflows = _distribute_load(shares)
         for region in REGIONS:
             change = loads[region] - load[region]
-            if step > _LOSS_STEP and abs(change) > _SLOTS * _NOTICEABLE:
+            if step > _LOSS_STEP and abs(change) > _SLOTS * _NOTICEABLE_SHARE:
                 outcome.settle_steps = step - _LOSS_STEP
                 outcome.reversals += change * last_change[region] < 0
                 last_change[region] = change
--- a/crocusshunt/bench/_slot_workload.py
+++ b/crocusshunt/bench/_slot_workload.py
@@ -4,7 +4,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-_HISTOGRAM = (1, 60_000_000, 3)
+# Lowest and highest value in microseconds, and significant digits.
+_HISTOGRAM_RANGE = (1, 60_000_000, 3)
 _MICROSECONDS = 1_000_000
 _MILLISECONDS = 1000
 _P99 = 99
@@ -53,7 +54,7 @@
     :param sent: attempts sent to servers."""
 
     waits: HdrHistogram = field(
-        default_factory=lambda: HdrHistogram(*_HISTOGRAM),
+        default_factory=lambda: HdrHistogram(*_HISTOGRAM_RANGE),
     )
     refused: int = 0
     sent: int = 0
--- a/crocusshunt/bench/capacity.py
+++ b/crocusshunt/bench/capacity.py
@@ -31,8 +31,8 @@
 from crocusshunt.routing import Server, Tables
 from crocusshunt.services import create_loop
 
-_CONTROL_MB = 32
-_CONTROL_CORE_PERCENT = 1.4
+_MAX_CONTROLLER_MB = 32
+_MAX_CONTROLLER_CPU_PERCENT = 1.4
 _IDLE_S = 5
 _SETTLE_S = 2
 _MESSAGES = 2_000
@@ -83,13 +83,13 @@
         'capacity.controller_memory',
         memory,
         'MB',
-        target=_CONTROL_MB,
+        target=_MAX_CONTROLLER_MB,
     )
     yield Measurement(
         'capacity.controller_idle_cpu',
         spent / _IDLE_S * _PERCENT,
         '% of a core',
-        target=_CONTROL_CORE_PERCENT,
+        target=_MAX_CONTROLLER_CPU_PERCENT,
     )
 
 
--- a/crocusshunt/bench/configuration.py
+++ b/crocusshunt/bench/configuration.py
@@ -18,7 +18,7 @@
 
 _SEED = 41
 _APIS = 6
-_EVIDENCE_S = 4
+_MAX_EVIDENCE_AGE_S = 4
 _SETTLE_S = 15
 _STEADY_S = 30
 _OUTAGE_S = 3600
@@ -26,8 +26,8 @@
 _STEP_S = 0.01
 _WAIT_TIMEOUT_S = 60
 _ROWS = 20_000
-_APIS_OF_LARGE_FLEET = 70
-_HOSTS_OF_LARGE_FLEET = 1800
+_LARGE_FLEET_APIS = 70
+_LARGE_FLEET_HOSTS = 1800
 _KEY = Key('court', 'court', digest_key('ck_court_00'))
 
 
@@ -65,7 +65,7 @@
         return False
     if _KEY.name in feed.find_suspension().keys:
         return False
-    return feed.measure_evidence_age() <= _EVIDENCE_S
+    return feed.measure_evidence_age() <= _MAX_EVIDENCE_AGE_S
 
 
 async def _measure_propagation(hosts: int) -> _PropagationFigures:
@@ -171,10 +171,10 @@
             )
     yield Measurement(
         'config.1800_hosts.store_reads_computed',
-        _APIS_OF_LARGE_FLEET / POLL_INTERVAL_S,
+        _LARGE_FLEET_APIS / POLL_INTERVAL_S,
         'reads/s',
         2000,
-        baseline=_HOSTS_OF_LARGE_FLEET / POLL_INTERVAL_S,
+        baseline=_LARGE_FLEET_HOSTS / POLL_INTERVAL_S,
     )
     yield Measurement(
         'config.outage_refusals',
--- a/crocusshunt/bench/membership.py
+++ b/crocusshunt/bench/membership.py
@@ -36,7 +36,7 @@
 _SETTLE_S = 5
 _DETECTION_TIMEOUT_S = 40
 _REJOIN_S = 5
-_BYTES_A_SECOND = 15_000
+_MAX_BYTES_PER_S = 15_000
 # CPU time of one endpoint per exchange, measured by the benchmark
 # `capacity`.
 _ENDPOINT_CPU_US = 230
@@ -166,7 +166,7 @@
     )
     figures = (
         (f'member.detect.{size}', detected_s, 's until all hosts know', None),
-        (f'member.bytes.{size}', rate, 'bytes/s a host', _BYTES_A_SECOND),
+        (f'member.bytes.{size}', rate, 'bytes/s a host', _MAX_BYTES_PER_S),
         (f'member.messages.{size}', messages, 'messages/s a host', None),
         (f'member.core.{size}', core, '% of a core a host', None),
         (f'member.memory.{size}', held / size, 'bytes a host known', None),
--- a/crocusshunt/bench/steering.py
+++ b/crocusshunt/bench/steering.py
@@ -32,14 +32,14 @@
 _DOMAINS = 35
 _LOOKUPS = 20_000
 _UPDATES = 2_000
-_LISTED_HOSTS = 4
+_RANKED_HOSTS = 4
 _MICROSECONDS = 1_000_000
 _MILLISECONDS = 1_000
 _LOOKUPS_PER_HOST_S = 500
 _CONTROL_SHARE = 0.014
-_BLOCK_BYTES = 8
+_MAX_BLOCK_BYTES = 8
 _IPV4 = 4
-_LENGTHS = (20, 21, 22, 22, 23, 23, 24, 24, 24, 24)
+_PREFIX_LENGTHS = (20, 21, 22, 22, 23, 23, 24, 24, 24, 24)
 _BITS = 32
 
 
@@ -55,7 +55,7 @@
         'steer.block_bytes',
         round(allocated_bytes / _BLOCKS, 2),
         'bytes',
-        target=_BLOCK_BYTES,
+        target=_MAX_BLOCK_BYTES,
         baseline=round(_measure_dictionary(), 2),
         seed=_SEED,
     )
@@ -137,7 +137,7 @@
     sites = [f'site-{number:03d}' for number in range(_SITES)]
     while table.count() < _BLOCKS:
         for _ in range(_BLOCKS - table.count()):
-            length = source.choice(_LENGTHS)
+            length = source.choice(_PREFIX_LENGTHS)
             first = source.getrandbits(length) << (_BITS - length)
             table.put_prefix((_IPV4, length), first, source.choice(sites))
     return table
@@ -165,7 +165,7 @@
 
     yield Measurement(
         'steer.update',
-        round(_time(update) / _UPDATES * _MICROSECONDS, 2),
+        round(_measure_cpu_s(update) / _UPDATES * _MICROSECONDS, 2),
         'us of CPU a change',
         seed=_SEED,
     )
@@ -194,9 +194,9 @@
         for client in clients:
             site = table.find_region(client)
             region = f'region-{hash(site) % _REGIONS:02d}'
-            ranker.rank(Caller(str(client), region), _LISTED_HOSTS)
+            ranker.rank(Caller(str(client), region), _RANKED_HOSTS)
 
-    spent_s = _time(look_up)
+    spent_s = _measure_cpu_s(look_up)
     yield Measurement(
         'steer.lookups',
         round(_LOOKUPS / spent_s),
@@ -220,7 +220,7 @@
     )
 
 
-def _time(work: Callable[[], None]) -> float:
+def _measure_cpu_s(work: Callable[[], None]) -> float:
     started = process_time()
     work()
     return process_time() - started
