--- a/crocusshunt/controller/tests/test_lending.py
+++ b/crocusshunt/controller/tests/test_lending.py
@@ -16,7 +16,7 @@
     Tally,
     count_overshoot,
     create_arrivals,
-    drive,
+    send_requests,
     simulate,
 )
 from crocusshunt.limits import find_shard
@@ -75,7 +75,7 @@
     holder = _find_lender(fleet)
     fleet.pause(holder)
     await asyncio.sleep(3)
-    fleet.forget(holder)
+    fleet.remove_from_peers(holder)
     await asyncio.sleep(7)
     fleet.resume(holder)
 
@@ -85,7 +85,7 @@
     holder = _find_lender(fleet)
     fleet.kill(holder)
     await asyncio.sleep(2)
-    fleet.forget(holder)
+    fleet.remove_from_peers(holder)
 
 
 @_register_fault
@@ -100,7 +100,7 @@
 async def stop_holder(fleet: LimitFleet) -> None:
     holder = _find_lender(fleet)
     await fleet.hosts[holder].lending.loans.release_all()
-    fleet.forget(holder)
+    fleet.remove_from_peers(holder)
     if holder in fleet.hosts:
         fleet.kill(holder)
 
@@ -113,14 +113,14 @@
     cut = {
         one for one in fleet.hosts if fleet.layout.find_region(one) == region
     }
-    fleet.network.groups = dict.fromkeys(cut, 1)
+    fleet.network.partitions = dict.fromkeys(cut, 1)
     await asyncio.sleep(3)
     for name, host in fleet.hosts.items():
         unreachable = set(fleet.hosts) - cut if name in cut else cut
         for one in unreachable:
             host.peers.domains.pop(one, None)
     await asyncio.sleep(10)
-    fleet.network.groups = {}
+    fleet.network.partitions = {}
 
 
 @_register_fault
@@ -146,7 +146,9 @@
         watch_task = asyncio.create_task(
             _count_most_lenders(fleet, load.duration_s)
         )
-        load_task = asyncio.create_task(drive(fleet, load.customer, arrivals))
+        load_task = asyncio.create_task(
+            send_requests(fleet, load.customer, arrivals)
+        )
         await asyncio.sleep(_FAULT_AT_S)
         for fault in faults:
             fault_task = asyncio.create_task(fault(fleet))
@@ -209,7 +211,7 @@
         fleet.pause(holder)
         await asyncio.sleep(6)
         lenders_while_paused = fleet.find_lenders(_SHARD)
-        fleet.forget(holder)
+        fleet.remove_from_peers(holder)
         await asyncio.sleep(8)
         fleet.resume(holder)
         lenders_after = fleet.find_lenders(_SHARD)
